--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -27,7 +27,7 @@
 MECHANISMS = {
     "hedges": (
         f"{_DIRECT}/calls.py",
-        "not progress.was_suspect and self._hedges.try_take()",
+        "not progress.was_suspect and self._hedges.try_spend()",
         "False",
     ),
     "quarantine": (
@@ -65,22 +65,22 @@
     ),
     "window-sizes": (
         f"{_ROUTING}/windows.py",
-        "            self.size = max(_LEAST_WINDOW, self.size / 2)",
-        "            self.size = FIRST_WINDOW",
+        "            self.size = max(_MIN_WINDOW, self.size / 2)",
+        "            self.size = INITIAL_WINDOW",
     ),
     "trials": (
         f"{_ROUTING}/windows.py",
-        "return self.refuses_since is None or now >= self.next_trial_at",
+        "return self.refusing_since is None or now >= self.next_trial_at",
         "return True",
     ),
     "preferred-servers": (
         f"{_ROUTING}/preferred.py",
-        "if not self._most or len(usable) <= self._most:",
+        "if not self._limit or len(usable) <= self._limit:",
         "if usable:",
     ),
     "outlier-health": (
         f"{_ROUTING}/health.py",
-        "if self._is_outlier(health, group) and self._may_eject(name, group):",
+        "if self._is_outlier(health, group) and self._can_eject(name, group):",
         "if health is None:",
     ),
     "longest-first": (
@@ -115,13 +115,14 @@
     ),
     "belief-that-ends": (
         f"{_ROUTING}/windows.py",
-        "if self.refuses_since is not None and now >= self.refused_at + self._doubt_seconds:",
-        "if self.refuses_since is not None and now < 0.0:",
+        "if self.refusing_since is not None"
+        " and now >= self.refused_at + self._refusal_ttl_seconds:",
+        "if self.refusing_since is not None and now < 0.0:",
     ),
     "probes-by-batches": (
         f"{_ROUTING}/router.py",
-        "_WINDOWED_PROBE_PART = 0.05",
-        "_WINDOWED_PROBE_PART = 0.0",
+        "_WINDOWED_PROBE_FRACTION = 0.05",
+        "_WINDOWED_PROBE_FRACTION = 0.0",
     ),
     "crowd": (
         f"{_PROGRAM}/version_keeper.py",
--- a/bench/policy_choosers.py
+++ b/bench/policy_choosers.py
@@ -129,11 +129,11 @@
 
     def note_started(self, name: str) -> None:
         """Pass it on."""
-        self._router.note_started(name)
+        self._router.record_started(name)
 
     def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
         """Pass the outcome on, or only that there was one."""
         outcome = router.RouteOutcome.OK if succeeded else router.RouteOutcome.FAILED
         if not self._judges:
             outcome = router.RouteOutcome.REFUSED
-        self._router.note_finished(name, outcome, latency_ms)
+        self._router.record_finished(name, outcome, latency_ms)
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -63,7 +63,7 @@
         request = _Request(self._simulation.now)
         self.requests.append(request)
         if self._budget is not None:
-            self._budget.note_fresh()
+            self._budget.record_first_attempt()
         self._send(request)
 
     def _send(self, request: _Request) -> None:
@@ -76,7 +76,7 @@
     def _give_up(self, request: _Request, tried: int) -> None:
         if request.answered or tried > _MOST_RETRIES:
             return
-        if self._budget is not None and not self._budget.try_take():
+        if self._budget is not None and not self._budget.try_spend():
             return
         wait_ms = retries.compute_backoff(tried - 1, _BASE_MS, _MOST_MS, self._source)
         self._simulation.schedule(wait_ms / 1000, lambda: self._send(request))
--- a/features/steps/batch_items_steps.py
+++ b/features/steps/batch_items_steps.py
@@ -127,6 +127,6 @@
 def check_rate(context, seconds, name, least, most):
     def read_rate():
         known = context.process.router.list_peers()
-        return next(peer.event_ms for peer in known if peer.name == name)
+        return next(peer.event_interval_ms for peer in known if peer.name == name)
 
     batch_processes.wait_until(seconds, lambda: least <= read_rate() <= most, read_rate)
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -67,7 +67,7 @@
         server.running = [item for item in server.running if item[1] > self.now]
         for _ in ended:
             self.done += 1
-            self.router.note_finished(server.name, router.RouteOutcome.OK, 80)
+            self.router.record_finished(server.name, router.RouteOutcome.OK, 80)
         if server.is_loading(self.now):
             for _ in server.queued:
                 self._refuse(server)
@@ -78,7 +78,7 @@
         while server.queued and len(server.running) < _SLOTS:
             started_at = server.queued.pop(0)
             server.running.append((started_at, self.now + _TEXT_SECONDS))
-            self.router.note_accepted(server.name, started_at)
+            self.router.record_accepted(server.name, started_at)
             self._note_work(server)
 
     def _note_work(self, server):
@@ -97,7 +97,7 @@
                 break
             server = next(item for item in self.servers if item.name == chosen.ok)
             self.waiting -= 1
-            self.router.note_started(server.name, is_windowed=True)
+            self.router.record_started(server.name, is_windowed=True)
             is_full = len(server.queued) + len(server.running) >= _SLOTS + _QUEUE
             if server.is_loading(self.now) or is_full:
                 refused.append(server)
@@ -108,7 +108,7 @@
     def _refuse(self, server):
         server.refused += 1
         self.waiting += 1
-        self.router.note_finished(server.name, router.RouteOutcome.REFUSED, 1)
+        self.router.record_finished(server.name, router.RouteOutcome.REFUSED, 1)
 
 
 @behave.given("a runner with {texts:d} texts before 4 servers")
@@ -159,16 +159,16 @@
 @behave.when("p1 refuses a windowed request after a long one began")
 def refuse_after_start(context):
     context.began_at = context.routing_now
-    context.router.note_started("p1", is_windowed=True)
+    context.router.record_started("p1", is_windowed=True)
     context.routing_now += 1.0
-    context.router.note_started("p1", is_windowed=True)
-    context.router.note_finished("p1", router.RouteOutcome.REFUSED, 1)
+    context.router.record_started("p1", is_windowed=True)
+    context.router.record_finished("p1", router.RouteOutcome.REFUSED, 1)
 
 
 @behave.when("the long one ends well")
 def end_long(context):
-    context.router.note_accepted("p1", context.began_at)
-    context.router.note_finished("p1", router.RouteOutcome.OK, 80)
+    context.router.record_accepted("p1", context.began_at)
+    context.router.record_finished("p1", router.RouteOutcome.OK, 80)
 
 
 @behave.then("p1 takes no windowed request yet")
@@ -180,10 +180,10 @@
 def begin_trial(context, seconds, taken):
     context.routing_now += seconds
     assert _choose(context).is_ok()
-    context.router.note_started("p1", is_windowed=True)
+    context.router.record_started("p1", is_windowed=True)
     assert _choose(context).error.reason == router.WINDOWS_FULL
     if taken == "begins":
-        context.router.note_accepted("p1", context.routing_now)
+        context.router.record_accepted("p1", context.routing_now)
     else:
         context.routing_now += 0.08
 
@@ -209,20 +209,20 @@
     def refuse(self, texts, seconds):
         """Let the first server refuse texts at once, and trials for some time."""
         for _ in range(texts):
-            self.router.note_started("s0", is_windowed=True)
+            self.router.record_started("s0", is_windowed=True)
         for _ in range(texts):
             self._end("s0", router.RouteOutcome.REFUSED)
         until = self.now + seconds
         while self.now < until:
             self.now = min(until, self.now + _TRIAL_SECONDS)
-            self.router.note_started("s0", is_windowed=True)
+            self.router.record_started("s0", is_windowed=True)
             self._end("s0", router.RouteOutcome.REFUSED)
 
     def eject(self):
         """Let the first server answer, but ten times slower than the others."""
         for _ in range(_ANSWERS_TO_EJECT):
             for name in ("s0", "s1", "s2", "s3"):
-                self.router.note_started(name, is_windowed=True)
+                self.router.record_started(name, is_windowed=True)
                 slower = _SLOWER if name == "s0" else 1
                 self._end(name, router.RouteOutcome.OK, _EVENT_MS * slower)
 
@@ -233,7 +233,7 @@
         for _ in range(texts):
             chosen = self.router.choose(request)
             if chosen.is_ok():
-                self.router.note_started(chosen.ok, is_windowed=True)
+                self.router.record_started(chosen.ok, is_windowed=True)
                 given.append(chosen.ok)
         self.given.append(given.count("s0"))
         return given
@@ -246,7 +246,7 @@
             self._end(name, router.RouteOutcome.OK, _EVENT_MS)
 
     def _end(self, name, outcome, milliseconds=1):
-        self.router.note_finished(name, outcome, milliseconds)
+        self.router.record_finished(name, outcome, milliseconds)
 
 
 @behave.given(
@@ -295,11 +295,11 @@
     """Return the peers with a spare place, found by giving each a queued request in turn."""
     request = dataclasses.replace(routing_steps.build_request("any"), is_windowed=True)
     found = []
-    while (spare := context.router.find_spare(request)) is not None:
+    while (spare := context.router.find_free_peer(request)) is not None:
         found.append(spare.name)
-        context.router.add_queued(spare.name)
+        context.router.add_pending_stream(spare.name)
     for name in found:
-        context.router.remove_queued(name)
+        context.router.remove_pending_stream(name)
     return sorted(found)
 
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -96,17 +96,17 @@
 @behave.when("routing starts {started:d} and finishes {finished:d} requests at {name}")
 def start_and_finish(context, started, finished, name):
     for _ in range(started):
-        context.router.note_started(name)
+        context.router.record_started(name)
     for _ in range(finished):
-        context.router.note_finished(name, router.RouteOutcome.OK, 10)
+        context.router.record_finished(name, router.RouteOutcome.OK, 10)
 
 
 @behave.when("routing ends {count:d} requests at each of {names} as {outcome} in {service:d} ms")
 def end_requests(context, count, names, outcome, service):
     for _ in range(count):
         for name in names.split():
-            context.router.note_started(name)
-            context.router.note_finished(name, router.RouteOutcome(outcome), service)
+            context.router.record_started(name)
+            context.router.record_finished(name, router.RouteOutcome(outcome), service)
 
 
 @behave.then("routing chose only {names}")
@@ -169,7 +169,7 @@
     context.sent = collections.Counter()
     for _ in range(count):
         name = context.router.choose(build_request("any", "popular")).ok
-        context.router.note_started(name)
+        context.router.record_started(name)
         context.sent[name] += 1
 
 
@@ -193,14 +193,14 @@
 def use_budget(context, fresh, wanted):
     context.allowed = 0
     for _ in range(fresh):
-        _find_budget(context).note_fresh()
-        context.allowed += sum(_find_budget(context).try_take() for _ in range(wanted))
+        _find_budget(context).record_first_attempt()
+        context.allowed += sum(_find_budget(context).try_spend() for _ in range(wanted))
 
 
 @behave.when("{fresh:d} fresh requests want no retries")
 def save_retries(context, fresh):
     for _ in range(fresh):
-        _find_budget(context).note_fresh()
+        _find_budget(context).record_first_attempt()
 
 
 @behave.when("{count:d} other customers get a retry budget")
@@ -217,7 +217,7 @@
 
 @behave.then("the retry budget has {left:d} retries left")
 def check_left(context, left):
-    found = sum(_find_budget(context).try_take() for _ in range(100))
+    found = sum(_find_budget(context).try_spend() for _ in range(100))
     assert found == left, found
 
 
@@ -255,13 +255,13 @@
             context.excluded = context.excluded | {name}
         elif state == "full":
             for _ in range(_REPORT["slots"]):
-                context.router.note_started(name)
+                context.router.record_started(name)
         elif state == "leaving":
             _report(context.router, f"{name},leaving=1")
         elif state == "failing":
             for _ in range(20):
-                context.router.note_started(name)
-                context.router.note_finished(name, router.RouteOutcome.FAILED, 5)
+                context.router.record_started(name)
+                context.router.record_finished(name, router.RouteOutcome.FAILED, 5)
 
 
 @behave.when("routing {count:d} windowed requests")
--- a/features/steps/text_queues_steps.py
+++ b/features/steps/text_queues_steps.py
@@ -68,26 +68,26 @@
             if chosen.is_error():
                 return
             heapq.heappop(self._waiting)
-            self._router.note_started(chosen.ok, is_windowed=True)
-            self._router.add_queued(chosen.ok)
+            self._router.record_started(chosen.ok, is_windowed=True)
+            self._router.add_pending_stream(chosen.ok)
             if not self._fleet.send(chosen.ok, self, number, text):
                 self.refuse(chosen.ok, number, text)
 
     def begin(self, name, sent_at):
-        self._router.note_accepted(name, sent_at)
-        self._router.remove_queued(name)
+        self._router.record_accepted(name, sent_at)
+        self._router.remove_pending_stream(name)
 
     def add_texts(self, texts):
         for number, text in enumerate(texts):
             heapq.heappush(self._waiting, (-text.guess, number, text))
 
     def end(self, name, event_ms):
-        self._router.record_rate(name, event_ms)
-        self._router.note_finished(name, router.RouteOutcome.OK, event_ms)
+        self._router.record_event_interval(name, event_ms)
+        self._router.record_finished(name, router.RouteOutcome.OK, event_ms)
 
     def refuse(self, name, number, text):
-        self._router.remove_queued(name)
-        self._router.note_finished(name, router.RouteOutcome.REFUSED, 1)
+        self._router.remove_pending_stream(name)
+        self._router.record_finished(name, router.RouteOutcome.REFUSED, 1)
         heapq.heappush(self._waiting, (-text.guess, number, text))
 
 
--- a/libs/direct/oleander_direct/attempts.py
+++ b/libs/direct/oleander_direct/attempts.py
@@ -49,8 +49,8 @@
         if answered.is_error() and answered.error.was_sent and not answered.error.was_cancelled:
             _log_failure(request, server, answered.error, milliseconds)
         if answered.is_ok() and outcome is not router.RouteOutcome.REFUSED:
-            self._router.note_accepted(server.server_id, started_at)
-        self._router.note_finished(server.server_id, outcome, milliseconds)
+            self._router.record_accepted(server.server_id, started_at)
+        self._router.record_finished(server.server_id, outcome, milliseconds)
         return answered
 
     def _call_guarded(
--- a/libs/direct/oleander_direct/calls.py
+++ b/libs/direct/oleander_direct/calls.py
@@ -120,7 +120,7 @@
         limited = deadline.earlier(max(0.0, min(remaining - kept, route.timeout_ms / 1000)))
         backend = route.pick_backend(self._random)
         progress = call_progress.CallProgress(request, route, backend, limited, is_windowed)
-        self._hedges.note_fresh()
+        self._hedges.record_first_attempt()
         outcome = self._run(progress, is_gone)
         if isinstance(outcome, call_outcomes.Answered):
             self._comeback.note_answered()
@@ -200,7 +200,7 @@
         """
         if not progress.request.may_repeat or not progress.may_send:
             return
-        if not progress.was_suspect and self._hedges.try_take():
+        if not progress.was_suspect and self._hedges.try_spend():
             metrics.count(metrics.HEDGES)
             self._start(progress, running)
 
@@ -222,7 +222,7 @@
             return False
         progress.excluded.add(chosen.server_id)
         progress.sent += 1
-        self._router.note_started(chosen.server_id, progress.is_windowed)
+        self._router.record_started(chosen.server_id, progress.is_windowed)
         if progress.sent > 1:
             metrics.count(metrics.RETRIES)
         running[self._submit(progress, chosen)] = chosen.server_id
--- a/libs/routing/oleander_routing/loads.py
+++ b/libs/routing/oleander_routing/loads.py
@@ -4,7 +4,7 @@
 
 from oleander_routing import peers
 
-_UNKNOWN_LATENCY_SECONDS = 1.0
+_DEFAULT_LATENCY_SECONDS = 1.0
 _MILLISECONDS = 1000.0
 
 
@@ -20,12 +20,12 @@
     """
     if not candidates:
         return
-    mean = sum(peer.others for peer in candidates) / len(candidates)
+    mean = sum(peer.other_requests for peer in candidates) / len(candidates)
     for peer in candidates:
-        difference = round((peer.others - mean) * _weigh_report(peer, now))
+        difference = round((peer.other_requests - mean) * _compute_report_weight(peer, now))
         peer.outstanding = peer.in_flight + max(0.0, mean + difference)
 
 
-def _weigh_report(peer: peers.Peer, now: float) -> float:
-    latency_seconds = peer.latency_ms / _MILLISECONDS or _UNKNOWN_LATENCY_SECONDS
+def _compute_report_weight(peer: peers.Peer, now: float) -> float:
+    latency_seconds = peer.latency_ms / _MILLISECONDS or _DEFAULT_LATENCY_SECONDS
     return math.exp(-max(0.0, now - peer.reported_at) / latency_seconds)
--- a/libs/routing/oleander_routing/peers.py
+++ b/libs/routing/oleander_routing/peers.py
@@ -5,9 +5,9 @@
 
 from oleander_routing import windows
 
-_NEWEST_WEIGHT = 0.1
-_NEWEST_RATE_WEIGHT = 0.25
-_QUEUE_PART = 3
+_LATENCY_EWMA_WEIGHT = 0.1
+_EVENT_INTERVAL_EWMA_WEIGHT = 0.25
+_SLOTS_PER_PENDING_STREAM = 3
 """One request for so many slots may be queued at a peer: a slot that becomes free is then filled
 without a round trip, and all other requests can still go wherever a slot is free."""
 
@@ -49,13 +49,13 @@
     reported_at: float
     in_flight: int = 0
     """Requests of this entry that were started and not finished."""
-    queued_here: int = 0
+    pending_streams: int = 0
     """Streams of this entry that were sent and have not begun."""
-    others: int = 0
+    other_requests: int = 0
     """Requests of other entries that waited or ran there by the last report."""
     latency_ms: float = 0.0
     """How long this entry's requests take there, as a moving average; 0 while unknown."""
-    event_ms: float = 0.0
+    event_interval_ms: float = 0.0
     """From one event of a stream to the next, as a moving average; 0 while unknown."""
     outstanding: float = 0.0
     """How many requests are estimated to wait or run there now."""
@@ -78,22 +78,22 @@
         return self.in_rotation and not self.leaving and not self.is_listed_leaving
 
     @property
-    def has_room(self) -> bool:
+    def is_available(self) -> bool:
         """Whether it is trusted and this entry has fewer requests there than it has slots."""
         return self.weight > 0.0 and self.has_free_slot
 
     @property
     def has_free_slot(self) -> bool:
         """Whether it seems to have a free slot: what this entry sent there has all begun."""
-        return self.in_flight < self.slots and not self.queued_here
+        return self.in_flight < self.slots and not self.pending_streams
 
-    def opens_window(self, now: float) -> bool:
+    def can_take_windowed(self, now: float) -> bool:
         """Whether one more windowed request may be sent."""
-        if self.queued_here >= max(1, self.slots // _QUEUE_PART):
+        if self.pending_streams >= max(1, self.slots // _SLOTS_PER_PENDING_STREAM):
             return False
         return self.window.is_open(self.in_flight, self.slots, now)
 
-    def apply(self, report: PeerReport, now: float) -> None:
+    def apply_report(self, report: PeerReport, now: float) -> None:
         """Take in a report; it counts all that this entry started before it."""
         self.failure_domain = report.failure_domain
         self.backend = report.backend
@@ -106,17 +106,17 @@
         self.leaving = self.leaving or report.leaving
         self.reported_at = now
         self.models = report.models
-        self.others = max(0, report.queued + report.running - self.in_flight)
+        self.other_requests = max(0, report.queued + report.running - self.in_flight)
 
-    def observe(self, latency_ms: float) -> None:
+    def record_latency(self, latency_ms: float) -> None:
         """Take in how long a request took."""
-        weight = _NEWEST_WEIGHT if self.latency_ms > 0.0 else 1.0
+        weight = _LATENCY_EWMA_WEIGHT if self.latency_ms > 0.0 else 1.0
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
-    def observe_rate(self, event_ms: float) -> None:
+    def record_event_interval(self, event_interval_ms: float) -> None:
         """Update the moving average of the time from one event of a stream to the next."""
-        weight = _NEWEST_RATE_WEIGHT if self.event_ms > 0.0 else 1.0
-        self.event_ms += weight * (event_ms - self.event_ms)
+        weight = _EVENT_INTERVAL_EWMA_WEIGHT if self.event_interval_ms > 0.0 else 1.0
+        self.event_interval_ms += weight * (event_interval_ms - self.event_interval_ms)
 
 
 def create_peer(name: str, report: PeerReport, now: float) -> Peer:
@@ -134,6 +134,6 @@
         in_rotation=report.in_rotation,
         leaving=report.leaving,
         reported_at=now,
-        others=report.queued + report.running,
+        other_requests=report.queued + report.running,
         models=report.models,
     )
--- a/libs/routing/oleander_routing/preferred.py
+++ b/libs/routing/oleander_routing/preferred.py
@@ -11,11 +11,11 @@
     used so rarely that it idles out, requests open one each, and servers run out of channels.
     """
 
-    def __init__(self, entry_name: str, most: int) -> None:
+    def __init__(self, entry_name: str, limit: int) -> None:
         """Prefer so many peers of each backend; 0 prefers none."""
         self._entry_name = entry_name
-        self._most = most
-        self._chosen: dict[str, tuple[frozenset[str], frozenset[str]]] = {}
+        self._limit = limit
+        self._preferred_by_backend: dict[str, tuple[frozenset[str], frozenset[str]]] = {}
 
     def narrow(self, usable: list[peers.Peer], candidates: list[peers.Peer]) -> list[peers.Peer]:
         """
@@ -24,19 +24,19 @@
         Both lists are of one backend. A full or failing subset must not refuse anybody while other
         servers have places.
         """
-        if not self._most or len(usable) <= self._most:
+        if not self._limit or len(usable) <= self._limit:
             return candidates
         preferred = self._find_preferred(usable)
-        roomy = [peer for peer in candidates if peer.has_room]
-        return [peer for peer in roomy if peer.name in preferred] or roomy or candidates
+        available = [peer for peer in candidates if peer.is_available]
+        return [peer for peer in available if peer.name in preferred] or available or candidates
 
     def _find_preferred(self, usable: list[peers.Peer]) -> frozenset[str]:
         backend = usable[0].backend
         names = frozenset(peer.name for peer in usable)
-        known = self._chosen.get(backend)
+        known = self._preferred_by_backend.get(backend)
         if known is not None and known[0] == names:
             return known[1]
         hosts = [subset.SubsetHost(peer.name, peer.failure_domain) for peer in usable]
-        chosen = frozenset(subset.choose_subset(self._entry_name, hosts, self._most))
-        self._chosen[backend] = (names, chosen)
+        chosen = frozenset(subset.choose_subset(self._entry_name, hosts, self._limit))
+        self._preferred_by_backend[backend] = (names, chosen)
         return chosen
--- a/libs/routing/oleander_routing/retries.py
+++ b/libs/routing/oleander_routing/retries.py
@@ -4,10 +4,10 @@
 import random
 import threading
 
-_TOKEN = 100
+_RETRY_COST = 100
 """A retry costs this; fresh work earns its percentage."""
-_MOST_CUSTOMERS = 1000
-_MOST_DOUBLINGS = 30
+_MAX_CUSTOMERS = 1000
+_MAX_DOUBLINGS = 30
 
 
 class RetryBudget:
@@ -19,10 +19,10 @@
     retry is there from the start; at most `most_tokens` are saved, and further ones are lost.
     """
 
-    def __init__(self, percent: int, most_tokens: int) -> None:
+    def __init__(self, percent: int, max_retries: int) -> None:
         self._percent = percent
-        self._most_earned = most_tokens * _TOKEN
-        self._earned = min(_TOKEN, self._most_earned)
+        self._max_credit = max_retries * _RETRY_COST
+        self._credit = min(_RETRY_COST, self._max_credit)
         self._lock = threading.Lock()
 
     @property
@@ -30,17 +30,17 @@
         """How many retries a hundred fresh requests earn."""
         return self._percent
 
-    def note_fresh(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a request that is no retry."""
         with self._lock:
-            self._earned = min(self._most_earned, self._earned + self._percent)
+            self._credit = min(self._max_credit, self._credit + self._percent)
 
-    def try_take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry from the budget; return whether there was one."""
         with self._lock:
-            if self._earned < _TOKEN:
+            if self._credit < _RETRY_COST:
                 return False
-            self._earned -= _TOKEN
+            self._credit -= _RETRY_COST
             return True
 
 
@@ -52,8 +52,8 @@
     comes back, with a single retry.
     """
 
-    def __init__(self, most_tokens: int) -> None:
-        self._most_tokens = most_tokens
+    def __init__(self, max_retries: int) -> None:
+        self._max_retries = max_retries
         self._budgets: collections.OrderedDict[str, RetryBudget] = collections.OrderedDict()
         self._lock = threading.Lock()
 
@@ -62,19 +62,19 @@
         with self._lock:
             budget = self._budgets.get(customer)
             if budget is None or budget.percent != percent:
-                budget = self._budgets[customer] = RetryBudget(percent, self._most_tokens)
+                budget = self._budgets[customer] = RetryBudget(percent, self._max_retries)
             self._budgets.move_to_end(customer)
-            while len(self._budgets) > _MOST_CUSTOMERS:
+            while len(self._budgets) > _MAX_CUSTOMERS:
                 self._budgets.popitem(last=False)
             return budget
 
 
-def compute_backoff(attempt: int, base_ms: int, most_ms: int, source: random.Random) -> int:
+def compute_backoff(attempt: int, base_ms: int, max_ms: int, random_source: random.Random) -> int:
     """
     Return how long to wait before a retry, the first being attempt 0.
 
     The wait is drawn from the whole range up to the doubled bound ("full jitter"), since with less
     jitter those that failed together come back together.
     """
-    bound_ms = min(most_ms, base_ms * 2 ** min(attempt, _MOST_DOUBLINGS))
-    return source.randint(0, max(0, bound_ms))
+    bound_ms = min(max_ms, base_ms * 2 ** min(attempt, _MAX_DOUBLINGS))
+    return random_source.randint(0, max(0, bound_ms))
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -23,13 +23,13 @@
 WINDOWS_FULL = "windows-full"
 """All that could run it have as much of this entry as they may."""
 
-_MOST_PEERS = 4096
-_PROBE_PART = 0.01
+_MAX_PEERS = 4096
+_PROBE_FRACTION = 0.01
 """The part of requests that may probe an ejected peer."""
-_WINDOWED_PROBE_PART = 0.05
+_WINDOWED_PROBE_FRACTION = 0.05
 """The same of work that can wait, which comes by some fifty at a time: one or two of them."""
-_LEAST_RETRY_MS = 50
-_UNKNOWN_RETRY_MS = 1000
+_MIN_RETRY_AFTER_MS = 50
+_DEFAULT_RETRY_AFTER_MS = 1000
 
 
 class RouteOutcome(enum.Enum):
@@ -66,11 +66,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SparePeer:
+class FreePeer:
     """A peer that could begin with a request at once."""
 
     name: str
-    event_ms: float
+    event_interval_ms: float
     """From one event of a stream to the next; 0 where that is unknown."""
 
 
@@ -110,21 +110,21 @@
             now = self._read_now()
             peer = self._peers.get(name)
             if peer is not None and peer.incarnation == report.incarnation:
-                peer.apply(report, now)
-            elif peer is None and len(self._peers) >= _MOST_PEERS:
+                peer.apply_report(report, now)
+            elif peer is None and len(self._peers) >= _MAX_PEERS:
                 log.warn_bounded("too-many-peers", "a peer is not taken in", peer=name)
             else:
-                self._health.note_incarnation(name, report.incarnation)
+                self._health.reset_if_restarted(name, report.incarnation)
                 self._peers[name] = peers.create_peer(name, report, now)
-            self._note_listed(name)
-            self._health.release_excess(self._list_usable(report.backend), now)
+            self._update_listed_leaving(name)
+            self._health.readmit_excess(self._list_usable(report.backend), now)
 
     def remove(self, name: str) -> None:
         """Forget a peer whose link was lost."""
         with self._lock:
             peer = self._peers.pop(name, None)
             if peer is not None:
-                self._health.release_excess(self._list_usable(peer.backend), self._read_now())
+                self._health.readmit_excess(self._list_usable(peer.backend), self._read_now())
 
     def set_listed_leaving(self, names: frozenset[str]) -> None:
         """
@@ -137,9 +137,9 @@
         with self._lock:
             self._listed_leaving = names
             for name in self._peers:
-                self._note_listed(name)
+                self._update_listed_leaving(name)
             for backend in {peer.backend for peer in self._peers.values()}:
-                self._health.release_excess(self._list_usable(backend), self._read_now())
+                self._health.readmit_excess(self._list_usable(backend), self._read_now())
 
     def choose(self, request: RouteRequest) -> expression.Result[str, NoPeer]:
         """Return the peer that is to run a request, or why there is none."""
@@ -149,46 +149,46 @@
                 return expression.Error(candidates.error)
             return expression.Ok(self._pick(candidates.ok, request).name)
 
-    def note_started(self, name: str, is_windowed: bool = False) -> None:
+    def record_started(self, name: str, is_windowed: bool = False) -> None:
         """Count a request that is being sent to a peer."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
                 peer.in_flight += 1
                 if is_windowed:
-                    peer.window.note_started(self._read_now(), self._random.random())
+                    peer.window.record_started(self._read_now(), self._random.random())
 
-    def add_queued(self, name: str) -> None:
+    def add_pending_stream(self, name: str) -> None:
         """Count a stream that was sent to a peer and has not begun."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
-                peer.queued_here += 1
+                peer.pending_streams += 1
 
-    def remove_queued(self, name: str) -> None:
+    def remove_pending_stream(self, name: str) -> None:
         """Count a stream no longer that has begun, or has ended without beginning."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
-                peer.queued_here = max(0, peer.queued_here - 1)
+                peer.pending_streams = max(0, peer.pending_streams - 1)
 
-    def record_rate(self, name: str, event_ms: float) -> None:
+    def record_event_interval(self, name: str, event_interval_ms: float) -> None:
         """Update the rate of a peer: the time from one event of a stream to the next."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
-                peer.observe_rate(event_ms)
+                peer.record_event_interval(event_interval_ms)
 
-    def note_accepted(self, name: str, started_at: float) -> None:
+    def record_accepted(self, name: str, started_at: float) -> None:
         """Take in that a peer has begun with a request that was sent at this time, or ran it."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
                 was_refusing = peer.window.is_refusing
-                peer.window.note_accepted(started_at)
-                _log_turn(peer, was_refusing)
+                peer.window.record_accepted(started_at)
+                _log_window_change(peer, was_refusing)
 
-    def note_finished(
+    def record_finished(
         self, name: str, outcome: RouteOutcome, service_ms: float, now: float | None = None
     ) -> None:
         """Count a request that ended, and judge the peer by it."""
@@ -199,20 +199,20 @@
             peer.in_flight = max(0, peer.in_flight - 1)
             if outcome is RouteOutcome.REFUSED:
                 was_refusing = peer.window.is_refusing
-                peer.window.note_refused(self._read_now(), self._random.random())
-                _log_turn(peer, was_refusing)
+                peer.window.record_refused(self._read_now(), self._random.random())
+                _log_window_change(peer, was_refusing)
                 return
             if outcome is RouteOutcome.OK:
-                peer.window.note_done(peer.slots)
+                peer.window.record_success(peer.slots)
             moment = self._read_now() if now is None else now
             group = self._list_usable(peer.backend)
             failed = outcome in {RouteOutcome.FAILED, RouteOutcome.TIMED_OUT}
             latency_ms = None if outcome is RouteOutcome.FAILED else service_ms
             if latency_ms is not None:
-                peer.observe(latency_ms)
-            self._health.note_outcome(name, group, failed, latency_ms, moment)
+                peer.record_latency(latency_ms)
+            self._health.record_outcome(name, group, failed, latency_ms, moment)
 
-    def find_spare(self, request: RouteRequest) -> SparePeer | None:
+    def find_free_peer(self, request: RouteRequest) -> FreePeer | None:
         """
         Return the fastest trusted peer with the version that seems to have a free slot, if any.
 
@@ -221,8 +221,8 @@
         """
         with self._lock:
             now = self._read_now()
-            spare = [
-                SparePeer(peer.name, peer.event_ms)
+            free = [
+                FreePeer(peer.name, peer.event_interval_ms)
                 for peer in self._peers.values()
                 if peer.backend == request.backend
                 and peer.is_usable
@@ -231,16 +231,22 @@
                 and self._health.read_weight(peer.name, now) > 0.0
                 and _has_version(peer, request)
             ]
-        return min(spare, key=lambda peer: (not peer.event_ms, peer.event_ms), default=None)
+        return min(
+            free,
+            key=lambda peer: (not peer.event_interval_ms, peer.event_interval_ms),
+            default=None,
+        )
 
     def list_peers(self) -> list[peers.Peer]:
         """Return copies of all peers as they are now."""
         with self._lock:
             for backend in {peer.backend for peer in self._peers.values()}:
-                self._refresh([peer for peer in self._peers.values() if peer.backend == backend])
+                self._refresh_estimates(
+                    [peer for peer in self._peers.values() if peer.backend == backend]
+                )
             return [dataclasses.replace(peer) for peer in self._peers.values()]
 
-    def _note_listed(self, name: str) -> None:
+    def _update_listed_leaving(self, name: str) -> None:
         peer = self._peers.get(name)
         if peer is not None:
             peer.is_listed_leaving = name in self._listed_leaving
@@ -252,11 +258,11 @@
             if peer.backend == backend and peer.is_usable
         ]
 
-    def _refresh(self, listed: list[peers.Peer]) -> None:
+    def _refresh_estimates(self, candidates: list[peers.Peer]) -> None:
         """Bring up to date what changes with time."""
         now = self._read_now()
-        loads.estimate_loads(listed, now)
-        for peer in listed:
+        loads.estimate_loads(candidates, now)
+        for peer in candidates:
             peer.weight = self._health.read_weight(peer.name, now)
 
     def _find_candidates(
@@ -264,27 +270,27 @@
     ) -> expression.Result[list[peers.Peer], NoPeer]:
         known = [peer for peer in self._peers.values() if peer.backend == request.backend]
         if not known:
-            return expression.Error(self._refuse(NO_PEERS, _UNKNOWN_RETRY_MS))
+            return expression.Error(self._refuse(NO_PEERS, _DEFAULT_RETRY_AFTER_MS))
         usable = [peer for peer in known if peer.is_usable]
         if not usable:
-            return expression.Error(self._refuse(NONE_IN_ROTATION, _UNKNOWN_RETRY_MS))
+            return expression.Error(self._refuse(NONE_IN_ROTATION, _DEFAULT_RETRY_AFTER_MS))
         fresh = [peer for peer in usable if _has_version(peer, request)]
         if not fresh:
-            return expression.Error(self._refuse(NO_VERSION, _UNKNOWN_RETRY_MS))
+            return expression.Error(self._refuse(NO_VERSION, _DEFAULT_RETRY_AFTER_MS))
         candidates = [peer for peer in fresh if peer.name not in request.excluded]
         if not candidates:
             wait_ms = min(peer.wait_ms for peer in fresh)
             return expression.Error(self._refuse(ALL_EXCLUDED, wait_ms))
         if request.is_windowed:
-            candidates = self._find_open(candidates)
+            candidates = self._filter_open_windows(candidates)
             if not candidates:
-                return expression.Error(self._refuse(WINDOWS_FULL, _LEAST_RETRY_MS))
-        self._refresh(candidates)
+                return expression.Error(self._refuse(WINDOWS_FULL, _MIN_RETRY_AFTER_MS))
+        self._refresh_estimates(candidates)
         if not request.is_windowed:
             candidates = self._preferred.narrow(usable, candidates)
         return expression.Ok(candidates)
 
-    def _find_open(self, candidates: list[peers.Peer]) -> list[peers.Peer]:
+    def _filter_open_windows(self, candidates: list[peers.Peer]) -> list[peers.Peer]:
         """
         Return the peers whose windows are open; ejected ones beside others, to be probed.
 
@@ -295,10 +301,10 @@
         process for the rest of the day.
         """
         now = self._read_now()
-        is_open = [peer for peer in candidates if _opens_window(peer, now)]
+        open_peers = [peer for peer in candidates if _can_take_windowed(peer, now)]
         weights = {peer.name: self._health.read_weight(peer.name, now) for peer in candidates}
-        if not any(weights.values()) or any(weights[peer.name] for peer in is_open):
-            return is_open
+        if not any(weights.values()) or any(weights[peer.name] for peer in open_peers):
+            return open_peers
         return []
 
     def _pick(self, candidates: list[peers.Peer], request: RouteRequest) -> peers.Peer:
@@ -309,7 +315,7 @@
         if not trusted:
             return min(candidates, key=lambda peer: peer.load)
         if request.is_windowed:
-            trusted = selection.narrow_by_rate(trusted, request.expected_events)
+            trusted = selection.filter_by_event_interval(trusted, request.expected_events)
         if request.affinity:
             cached = selection.pick_by_affinity(trusted, request.affinity, request.budget_ms)
             if cached is not None:
@@ -323,15 +329,15 @@
         if not request.may_probe or request.excluded:
             return None
         ejected = [peer for peer in candidates if peer.weight == 0.0 and not peer.in_flight]
-        part = _WINDOWED_PROBE_PART if request.is_windowed else _PROBE_PART
-        if not ejected or self._random.random() >= part:
+        fraction = _WINDOWED_PROBE_FRACTION if request.is_windowed else _PROBE_FRACTION
+        if not ejected or self._random.random() >= fraction:
             return None
         return self._random.choice(ejected)
 
-    def _refuse(self, reason: str, milliseconds: int) -> NoPeer:
+    def _refuse(self, reason: str, wait_ms: int) -> NoPeer:
         """Return a refusal; the jitter keeps those refused together from coming back together."""
-        spread_ms = max(_LEAST_RETRY_MS, milliseconds) * (1.0 + self._random.random())
-        return NoPeer(reason, int(spread_ms))
+        retry_after_ms = max(_MIN_RETRY_AFTER_MS, wait_ms) * (1.0 + self._random.random())
+        return NoPeer(reason, int(retry_after_ms))
 
 
 def _has_version(peer: peers.Peer, request: RouteRequest) -> bool:
@@ -341,14 +347,14 @@
     return version is not None and version >= request.oldest_version
 
 
-def _opens_window(peer: peers.Peer, now: float) -> bool:
+def _can_take_windowed(peer: peers.Peer, now: float) -> bool:
     was_refusing = peer.window.is_refusing
-    is_open = peer.opens_window(now)
-    _log_turn(peer, was_refusing)
+    is_open = peer.can_take_windowed(now)
+    _log_window_change(peer, was_refusing)
     return is_open
 
 
-def _log_turn(peer: peers.Peer, was_refusing: bool) -> None:
+def _log_window_change(peer: peers.Peer, was_refusing: bool) -> None:
     """Log that a peer has begun to refuse, or takes work again."""
     if peer.window.is_refusing != was_refusing:
         event = "server-takes" if was_refusing else "server-refuses"
--- a/libs/routing/oleander_routing/selection.py
+++ b/libs/routing/oleander_routing/selection.py
@@ -6,17 +6,17 @@
 from oleander_base import identifiers
 from oleander_routing import peers
 
-_LOAD_BOUND = 1.25
+_MAX_LOAD_RATIO = 1.25
 """How far above the mean load a peer may be and still be given work for its prefixes."""
 _HASH_RANGE = 2.0**64
-_MOST_LOST_MS = 400
+_MAX_DELAY_MS = 400
 """The most by which a stream may be expected to end later than on the fastest peer."""
-_ABOUT_AS_FAST = 1.15
+_EQUAL_INTERVAL_RATIO = 1.15
 """Peers whose rates differ by a smaller factor count as equally fast: load alone changes rates."""
 
 
 def pick_by_load(
-    candidates: list[peers.Peer], budget_ms: int, source: random.Random
+    candidates: list[peers.Peer], budget_ms: int, random_source: random.Random
 ) -> peers.Peer:
     """
     Return the less loaded of two random peers.
@@ -24,11 +24,11 @@
     The least loaded of all would be the same one for every entry until the next reports, and all
     would send to it at once. Two random choices are nearly as even and don't herd.
     """
-    first = _pick_weighted(candidates, source)
+    first = _pick_weighted(candidates, random_source)
     others = [peer for peer in candidates if peer is not first]
     if not any(peer.weight for peer in others):
         return first
-    second = _pick_weighted(others, source)
+    second = _pick_weighted(others, random_source)
     return min(first, second, key=lambda peer: (peer.wait_ms > budget_ms, peer.load))
 
 
@@ -45,7 +45,7 @@
     slots = sum(max(1, peer.slots) for peer in candidates)
     outstanding = sum(peer.outstanding for peer in candidates) + 1
     for peer in sorted(candidates, key=lambda item: _hash_pair(item.name, prefix), reverse=True):
-        bound = math.ceil(_LOAD_BOUND * outstanding * max(1, peer.slots) / slots)
+        bound = math.ceil(_MAX_LOAD_RATIO * outstanding * max(1, peer.slots) / slots)
         if peer.outstanding >= max(bound, peer.slots) or peer.wait_ms > budget_ms:
             continue
         if _hash_pair(prefix, peer.name) < peer.weight * _HASH_RANGE:
@@ -53,7 +53,7 @@
     return None
 
 
-def narrow_by_rate(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
+def filter_by_event_interval(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
     Return the fastest of those that seem to have a free slot, else all that are fast enough.
 
@@ -64,28 +64,34 @@
     return _keep_fastest(free) or fast
 
 
-def _drop_slow(listed: list[peers.Peer], events: float) -> list[peers.Peer]:
+def _drop_slow(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
     Return the peers on which a stream ends little later than on the fastest; unknown ones too.
 
     The longest texts decide when a step is whole. On a peer that is a third slower they end
     seconds later, while short ones lose less there than by waiting for a faster one.
     """
-    fastest = min((peer.event_ms for peer in listed if peer.event_ms), default=0.0)
+    fastest = min(
+        (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
+    )
     if not events or not fastest:
-        return listed
-    most = fastest + _MOST_LOST_MS / events
-    return [peer for peer in listed if peer.event_ms <= most]
+        return candidates
+    max_interval_ms = fastest + _MAX_DELAY_MS / events
+    return [peer for peer in candidates if peer.event_interval_ms <= max_interval_ms]
 
 
-def _keep_fastest(listed: list[peers.Peer]) -> list[peers.Peer]:
+def _keep_fastest(candidates: list[peers.Peer]) -> list[peers.Peer]:
     """Return the peers that are about as fast as the fastest, and unknown ones."""
-    fastest = min((peer.event_ms for peer in listed if peer.event_ms), default=0.0)
-    return [peer for peer in listed if peer.event_ms <= fastest * _ABOUT_AS_FAST]
+    fastest = min(
+        (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
+    )
+    return [
+        peer for peer in candidates if peer.event_interval_ms <= fastest * _EQUAL_INTERVAL_RATIO
+    ]
 
 
-def _pick_weighted(candidates: list[peers.Peer], source: random.Random) -> peers.Peer:
-    return source.choices(candidates, [peer.weight for peer in candidates])[0]
+def _pick_weighted(candidates: list[peers.Peer], random_source: random.Random) -> peers.Peer:
+    return random_source.choices(candidates, [peer.weight for peer in candidates])[0]
 
 
 def _hash_pair(first: str, second: str) -> int:
--- a/libs/routing/oleander_routing/subset.py
+++ b/libs/routing/oleander_routing/subset.py
@@ -52,12 +52,12 @@
     """Share out places: the same for each group, more where others are too small to use theirs."""
     sizes = dict.fromkeys(groups, 0)
     ranked = sorted(groups, key=lambda name: _rank(entry_name, name))
-    left = min(size, sum(len(members) for members in groups.values()))
-    while left:
+    remaining = min(size, sum(len(members) for members in groups.values()))
+    while remaining:
         for name in ranked:
-            if left and sizes[name] < len(groups[name]):
+            if remaining and sizes[name] < len(groups[name]):
                 sizes[name] += 1
-                left -= 1
+                remaining -= 1
     return sizes
 
 
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -226,12 +226,12 @@
             self._kept_events[partial.item_number] = partial.events
 
     def start_next(
-        self, now: float, due_seconds: float, spare: router.SparePeer | None
+        self, now: float, due_seconds: float, spare: router.FreePeer | None
     ) -> ItemWork | None:
         """Return the next item to generate, or a straggler to move to a spare place."""
         spare_rate = (
-            self._event_tokens * _MILLISECONDS / spare.event_ms
-            if spare is not None and spare.event_ms
+            self._event_tokens * _MILLISECONDS / spare.event_interval_ms
+            if spare is not None and spare.event_interval_ms
             else None
         )
         with self._lock:
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -215,7 +215,7 @@
             return False
         if self._choose(run, route, frozenset()) is None:
             return False
-        spare = self._router.find_spare(_describe_need(run, route, frozenset()))
+        spare = self._router.find_free_peer(_describe_need(run, route, frozenset()))
         item = run.start_next(clock.read_now(), route.due_ms / 1000, spare)
         if item is None:
             return False
@@ -230,8 +230,8 @@
             run.put_back(item, _FULL_AGAIN_SECONDS)
             return True
         run.note_server(item.item_number, server.server_id)
-        self._router.note_started(server.server_id, is_windowed=True)
-        self._router.add_queued(server.server_id)
+        self._router.record_started(server.server_id, is_windowed=True)
+        self._router.add_pending_stream(server.server_id)
         with self._lock:
             self._running += 1
         self._group.start(lambda: self._run(item, server))
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -92,7 +92,7 @@
         leave may be more than the budget.
         """
         budget = self._budgets.find_budget(job.customer, job.retry_percent)
-        budget.note_fresh()
+        budget.record_first_attempt()
         excluded: frozenset[str] = frozenset()
         may_have_run = False
         attempt = 1
@@ -103,7 +103,7 @@
                 break
             if not _was_left(ended):
                 attempt += 1
-                if attempt > _MOST_ATTEMPTS or not budget.try_take():
+                if attempt > _MOST_ATTEMPTS or not budget.try_spend():
                     break
             metrics.count(metrics.RETRIES)
             excluded |= {ended.peer}
@@ -148,14 +148,14 @@
             return Ended(_refuse("link-lost", 200), chosen.ok)
         started_at = clock.read_now()
         outcome = router.RouteOutcome.OK
-        self._routes.note_started(chosen.ok)
+        self._routes.record_started(chosen.ok)
         observer.see_peer(chosen.ok)
         try:
             answer = yield from self._call(link, job, attempt, deadline, observer)
             outcome = _judge_route(answer, observer)
         finally:
             service_ms = (clock.read_now() - started_at) * 1000
-            self._routes.note_finished(chosen.ok, outcome, service_ms)
+            self._routes.record_finished(chosen.ok, outcome, service_ms)
         return Ended(answer, chosen.ok)
 
     def _call(
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -87,7 +87,7 @@
                 self._guard.finish(watch, outcome.read_end(ended))
         seconds = clock.read_now() - started_at
         rated, milliseconds = outcome.rate(seconds)
-        self._router.note_finished(server.server_id, rated, milliseconds)
+        self._router.record_finished(server.server_id, rated, milliseconds)
         _note_attempt(item, server, outcome, seconds)
         return ended
 
@@ -191,7 +191,7 @@
         """Count the item no longer as waiting at its server; repeated calls change nothing."""
         if self._is_queued:
             self._is_queued = False
-            self._router.remove_queued(self._server.server_id)
+            self._router.remove_pending_stream(self._server.server_id)
             self._on_dequeued()
 
     def rate(self, seconds: float) -> tuple[router.RouteOutcome, float]:
@@ -252,7 +252,7 @@
             self._heard_at = now
             if not self._events:
                 self._first_at = self._rated_at = now
-                self._router.note_accepted(self._server.server_id, self._started_at)
+                self._router.record_accepted(self._server.server_id, self._started_at)
                 self.leave_queue()
             self._events += 1
             self._report_rate(now)
@@ -273,7 +273,7 @@
         """
         if self._events > 1 and (self._events - 1) % _RATED_EVENTS == 0:
             milliseconds = (now - self._rated_at) * 1000 / _RATED_EVENTS
-            self._router.record_rate(self._server.server_id, milliseconds)
+            self._router.record_event_interval(self._server.server_id, milliseconds)
             self._rated_at = now
 
     def _is_unwanted(self) -> bool:
--- a/programs/oleanderdeal/oleanderdeal/once.py
+++ b/programs/oleanderdeal/oleanderdeal/once.py
@@ -174,10 +174,10 @@
         if not is_open:
             return _tell_not_run(claim, _NOT_SENT, "link-lost")
         started_at = clock.read_now()
-        self._routes.note_started(claim.sidecar)
+        self._routes.record_started(claim.sidecar)
         tried = self._send(request, attempt.logged, link)
         service_ms = (clock.read_now() - started_at) * 1000
-        self._routes.note_finished(claim.sidecar, _judge_route(tried), service_ms)
+        self._routes.record_finished(claim.sidecar, _judge_route(tried), service_ms)
         return tried
 
     def _send(
