--- a/libs/routing/oleander_routing/__init__.py
+++ b/libs/routing/oleander_routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which backend server a request goes to, and when it may be tried again."""
+"""Load balancing over backend servers, and the retry budget."""
 
 from oleander_routing import peers, preferred, retries, router, subset, windows
 
--- a/libs/routing/oleander_routing/health.py
+++ b/libs/routing/oleander_routing/health.py
@@ -1,4 +1,4 @@
-"""Ejection of peers that answer worse than the others of their backend."""
+"""Outlier detection: ejects peers that fail or are slow compared with their backend's others."""
 
 import collections
 import dataclasses
@@ -6,44 +6,49 @@
 import statistics
 
 _EWMA_WEIGHT = 0.1
+"""Weight of the newest outcome in the moving averages."""
 _MIN_SAMPLES = 10
-"""Latency is compared only after so many answers."""
+"""Answers that a peer must have given before its latency is compared."""
 _MAX_EXCESS_FAILURE_RATE = 0.3
-"""How far a peer's failure rate may be above the median."""
+"""How far a peer's failure rate, from 0 to 1, may exceed the median of its backend."""
 _MAX_LATENCY_RATIO = 3.0
-"""How many times the median latency a peer may take."""
+"""How many times the median latency of its backend a peer's latency may reach."""
 _PROBES_TO_READMIT = 3
+"""Successful probes in a row after which an ejected peer gets work again."""
 _RAMP_SECONDS = 10.0
+"""Time over which a readmitted peer's weight rises to 1."""
 _MIN_RAMP_WEIGHT = 0.1
+"""Weight of a peer that was just readmitted."""
 _MAX_PEERS = 4096
+"""Bounds the memory; the least recently updated peer is forgotten first."""
 
 
 class _HealthState(enum.Enum):
-    """How far a peer is trusted."""
+    """How much of its share of requests a peer gets."""
 
     HEALTHY = enum.auto()
     EJECTED = enum.auto()
-    """It gets probes only."""
+    """The peer gets single probes only."""
     RAMPING = enum.auto()
-    """Its probes succeeded; it gets more work bit by bit."""
+    """The probes succeeded; the peer's weight rises to 1 over `_RAMP_SECONDS`."""
 
 
 @dataclasses.dataclass(slots=True)
 class _PeerHealth:
-    """The outcomes of one incarnation of a peer, as moving averages."""
+    """Moving averages of the outcomes of one incarnation of a peer."""
 
     incarnation: str = ""
     failure_rate: float = 0.0
     latency_ms: float = 0.0
     samples: int = 0
-    """How many answers the latency rests on."""
+    """Number of answers in the average latency."""
     state: _HealthState = _HealthState.HEALTHY
     successful_probes: int = 0
-    """Probes in a row that succeeded."""
+    """Probes in a row that succeeded while the peer was ejected."""
     ramp_started_at: float = 0.0
 
     def record_outcome(self, failed: bool, latency_ms: float | None) -> None:
-        """Take in one outcome; the latency is missing where it says nothing."""
+        """Update the averages; `latency_ms` is None if the time is no sample of the latency."""
         self.failure_rate += _EWMA_WEIGHT * (float(failed) - self.failure_rate)
         if latency_ms is None:
             return
@@ -52,7 +57,11 @@
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
     def start_ramp(self, now: float) -> None:
-        """Give it work again; two more failures eject it anew."""
+        """
+        Readmit the peer with a low weight.
+
+        It starts at half of the tolerated failure rate, so that two more failures eject it again.
+        """
         self.state = _HealthState.RAMPING
         self.ramp_started_at = now
         self.failure_rate = _MAX_EXCESS_FAILURE_RATE / 2
@@ -62,33 +71,36 @@
 
 class HealthTable:
     """
-    The health of all peers; not thread-safe by itself.
-
-    A grey peer accepts work and then fails it or takes too long, while its reports look idle, so
-    load alone would send it more and more. Here it is told from its peers by what became of the
-    work. A fault that all peers share (bad requests, a slow store) moves the median too and ejects
-    nobody, and never more than half are ejected, so a wrong verdict can't take a backend down.
-
-    Health outlives a lost link, so that a flapping one does not wash a grey peer clean. At most
-    4096 peers are remembered; past that the one not heard of for longest is forgotten.
+    Health of all peers by the outcomes of requests; not thread-safe.
+
+    A peer with a partial ("grey") failure accepts requests and then fails them or answers late.
+    Its reports show little load, so balancing by load alone would send it more and more. It is
+    therefore compared with the other peers of its backend by the outcomes of requests. A fault
+    that all peers share (bad requests, a slow store) moves the median as well and ejects none.
+    At most half of a backend's peers are ejected, so that a false detection can't take the
+    backend down.
+
+    A peer's health is kept when its link is lost; otherwise a flapping link would reset the
+    failure rate of a faulty peer. At most 4096 peers are kept; beyond that the least recently
+    updated one is forgotten.
     """
 
     def __init__(self) -> None:
         self._health_by_peer: collections.OrderedDict[str, _PeerHealth] = collections.OrderedDict()
 
     def reset_if_restarted(self, name: str, incarnation: str) -> None:
-        """Start anew if what is known is of another incarnation."""
+        """Reset a peer's health if its sidecar has a new incarnation, so was restarted."""
         health = self._find_or_add(name)
         if health.incarnation != incarnation:
             self._health_by_peer[name] = _PeerHealth(incarnation)
 
     def is_ejected(self, name: str) -> bool:
-        """Whether a peer gets only probes."""
+        """Return whether a peer is ejected and gets probes only."""
         health = self._health_by_peer.get(name)
         return health is not None and health.state is _HealthState.EJECTED
 
     def read_weight(self, name: str, now: float) -> float:
-        """Return which part of its usual work a peer is to get, from 0 to 1."""
+        """Return the fraction of its usual requests that a peer gets now, from 0 to 1."""
         health = self._health_by_peer.get(name)
         if health is None or health.state is _HealthState.HEALTHY:
             return 1.0
@@ -103,7 +115,13 @@
     def record_outcome(
         self, name: str, group: list[str], failed: bool, latency_ms: float | None, now: float
     ) -> None:
-        """Take in an outcome of one peer of a backend; the group is all its usable peers."""
+        """
+        Record a request's outcome, and eject or readmit the peer by it.
+
+        `group` holds the names of all usable peers of the backend, with which it is compared.
+        `latency_ms` is None for a request that failed before its time was up: how soon it failed
+        says nothing about the peer's latency.
+        """
         health = self._find_or_add(name)
         has_succeeded = not failed and not self._is_slow(latency_ms, group)
         if health.state is _HealthState.EJECTED:
@@ -117,7 +135,7 @@
             health.successful_probes = 0
 
     def readmit_excess(self, group: list[str], now: float) -> None:
-        """Let ejected peers back in when others have gone and they are more than half."""
+        """Readmit ejected peers until at most half of the group is ejected."""
         ejected = [name for name in group if self.is_ejected(name)]
         for name in ejected[len(group) // 2 :]:
             self._health_by_peer[name].start_ramp(now)
--- a/libs/routing/oleander_routing/loads.py
+++ b/libs/routing/oleander_routing/loads.py
@@ -1,22 +1,24 @@
-"""How loaded peers are now, from reports that are old."""
+"""Estimates the current load of peers from reports that lag behind."""
 
 import math
 
 from oleander_routing import peers
 
 _DEFAULT_LATENCY_SECONDS = 1.0
+"""Assumed latency of a peer that has answered nothing yet."""
 _MILLISECONDS = 1000.0
 
 
 def estimate_loads(candidates: list[peers.Peer], now: float) -> None:
     """
-    Set how many requests are outstanding at each peer of one backend.
-
-    What this entry has in flight is known exactly. What others have there is known from a report,
-    and most of that has ended after the time that a request takes; so the older the report, the
-    closer the estimate is to the mean of all peers. Reports that are trusted for longer send all
-    entries to a peer that was idle once. The rest is rounded to whole requests, since smaller
-    differences say nothing, yet all entries would follow them to the same peer.
+    Update `outstanding`, the estimated number of requests, at each peer of one backend.
+
+    The requests that this entry has in flight are known exactly. Those of other entries are known
+    from the peer's last report, and most of them have ended once the latency of a request has
+    passed. The estimate therefore decays from the reported number to the mean of all peers, by
+    the age of the report. Without the decay all entries would send to a peer that was idle when
+    it last reported. Differences from the mean are rounded to whole requests: smaller ones are
+    noise, yet would make all entries choose the same peer.
     """
     if not candidates:
         return
--- a/libs/routing/oleander_routing/peers.py
+++ b/libs/routing/oleander_routing/peers.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the sidecars that it is connected to."""
+"""State that an entry keeps of each connected sidecar."""
 
 import collections.abc
 import dataclasses
@@ -6,15 +6,21 @@
 from oleander_routing import windows
 
 _LATENCY_EWMA_WEIGHT = 0.1
+"""Weight of the newest value in the moving average."""
 _EVENT_INTERVAL_EWMA_WEIGHT = 0.25
+"""Weight of the newest value in the moving average."""
 _SLOTS_PER_PENDING_STREAM = 3
-"""One request for so many slots may be queued at a peer: a slot that becomes free is then filled
-without a round trip, and all other requests can still go wherever a slot is free."""
+"""
+Slots of a peer for each stream that may wait in its queue.
+
+With a short queue the peer fills a freed slot without a round trip to the entry, while all other
+requests stay at the entry and can go to any peer that has a free slot.
+"""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PeerReport:
-    """What a sidecar says of itself."""
+    """The state that a sidecar reports in its heartbeats."""
 
     failure_domain: str
     backend: str
@@ -27,12 +33,12 @@
     in_rotation: bool
     leaving: bool
     models: collections.abc.Mapping[str, int] = dataclasses.field(default_factory=dict)
-    """The version of each model, where a backend server has several."""
+    """Loaded version by model name, for backend servers with several models."""
 
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """A sidecar: its last report, and what this entry did with it since."""
+    """A connected sidecar: its last report and this entry's own counts."""
 
     name: str
     failure_domain: str
@@ -42,59 +48,59 @@
     running: int
     slots: int
     wait_ms: int
-    """How long a new request would have waited when this was reported."""
+    """Predicted queueing time of a new request, as of the last report."""
     version: int | None
     in_rotation: bool
     leaving: bool
     reported_at: float
     in_flight: int = 0
-    """Requests of this entry that were started and not finished."""
+    """Requests that this entry has sent and that have not ended."""
     pending_streams: int = 0
-    """Streams of this entry that were sent and have not begun."""
+    """Streams that this entry has sent and that have produced no event yet."""
     other_requests: int = 0
-    """Requests of other entries that waited or ran there by the last report."""
+    """Requests of other entries, queued or running, as of the last report."""
     latency_ms: float = 0.0
-    """How long this entry's requests take there, as a moving average; 0 while unknown."""
+    """Moving average of the latency of this entry's requests; 0 while unknown."""
     event_interval_ms: float = 0.0
-    """From one event of a stream to the next, as a moving average; 0 while unknown."""
+    """Moving average of the time between two events of a stream; 0 while unknown."""
     outstanding: float = 0.0
-    """How many requests are estimated to wait or run there now."""
+    """Estimated number of requests queued or running now, of all entries."""
     is_listed_leaving: bool = False
-    """Whether the host list says that it is leaving, whatever it says itself."""
+    """Whether the host list marks it as leaving; independent of its own `leaving`."""
     weight: float = 1.0
-    """The part of its usual work that it is given; 0 while it is ejected."""
+    """Fraction of its usual requests that it gets, from 0 to 1; 0 while ejected."""
     models: collections.abc.Mapping[str, int] = dataclasses.field(default_factory=dict)
     window: windows.RequestWindow = dataclasses.field(default_factory=windows.RequestWindow)
-    """How much of this entry's work that can wait it may have."""
+    """Limits the windowed (deferrable) requests that this entry has in flight there."""
 
     @property
     def load(self) -> float:
-        """Outstanding requests for each slot."""
+        """Estimated outstanding requests per slot."""
         return self.outstanding / max(1, self.slots)
 
     @property
     def is_usable(self) -> bool:
-        """Whether it takes new work."""
+        """Whether it accepts new requests: in rotation and not leaving."""
         return self.in_rotation and not self.leaving and not self.is_listed_leaving
 
     @property
     def is_available(self) -> bool:
-        """Whether it is trusted and this entry has fewer requests there than it has slots."""
+        """Whether it is not ejected and seems to have a free slot."""
         return self.weight > 0.0 and self.has_free_slot
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether it seems to have a free slot: what this entry sent there has all begun."""
+        """Whether, by this entry's own requests alone, a slot is free and none waits for one."""
         return self.in_flight < self.slots and not self.pending_streams
 
     def can_take_windowed(self, now: float) -> bool:
-        """Whether one more windowed request may be sent."""
+        """Return whether one more windowed request may be sent to it now."""
         if self.pending_streams >= max(1, self.slots // _SLOTS_PER_PENDING_STREAM):
             return False
         return self.window.is_open(self.in_flight, self.slots, now)
 
     def apply_report(self, report: PeerReport, now: float) -> None:
-        """Take in a report; it counts all that this entry started before it."""
+        """Apply a report, whose counts include the requests that this entry has in flight."""
         self.failure_domain = report.failure_domain
         self.backend = report.backend
         self.queued = report.queued
@@ -109,18 +115,18 @@
         self.other_requests = max(0, report.queued + report.running - self.in_flight)
 
     def record_latency(self, latency_ms: float) -> None:
-        """Take in how long a request took."""
+        """Update the moving average of the latency."""
         weight = _LATENCY_EWMA_WEIGHT if self.latency_ms > 0.0 else 1.0
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
     def record_event_interval(self, event_interval_ms: float) -> None:
-        """Update the moving average of the time from one event of a stream to the next."""
+        """Update the moving average of the time between two events of a stream."""
         weight = _EVENT_INTERVAL_EWMA_WEIGHT if self.event_interval_ms > 0.0 else 1.0
         self.event_interval_ms += weight * (event_interval_ms - self.event_interval_ms)
 
 
 def create_peer(name: str, report: PeerReport, now: float) -> Peer:
-    """Return a peer as its first report describes it."""
+    """Create a peer from its first report."""
     return Peer(
         name=name,
         failure_domain=report.failure_domain,
--- a/libs/routing/oleander_routing/preferred.py
+++ b/libs/routing/oleander_routing/preferred.py
@@ -1,28 +1,30 @@
-"""The few peers of each backend that an entry keeps to."""
+"""Restricts an entry to a few peers of each backend."""
 
 from oleander_routing import peers, subset
 
 
 class PreferredPeers:
     """
-    Narrows the peers of a backend to the same few, evenly over failure domains; not thread-safe.
+    Picks a fixed subset of each backend's peers, even over failure domains; not thread-safe.
 
-    With connections to all of them their number is entries times servers. Each connection is then
-    used so rarely that it idles out, requests open one each, and servers run out of channels.
+    If every entry used every server, there would be entries times servers connections. Each would
+    be used so rarely that it closes as idle, so that every request opens a new one and the
+    servers run out of channels.
     """
 
     def __init__(self, entry_name: str, limit: int) -> None:
-        """Prefer so many peers of each backend; 0 prefers none."""
+        """Prefer at most `limit` peers of each backend; 0 means no preference."""
         self._entry_name = entry_name
         self._limit = limit
         self._preferred_by_backend: dict[str, tuple[frozenset[str], frozenset[str]]] = {}
 
     def narrow(self, usable: list[peers.Peer], candidates: list[peers.Peer]) -> list[peers.Peer]:
         """
-        Return the preferred candidates that have room, else the others that have, else all.
+        Return the available preferred candidates, else all available ones, else all.
 
-        Both lists are of one backend. A full or failing subset must not refuse anybody while other
-        servers have places.
+        `usable` and `candidates` are peers of one backend, the candidates a part of the usable
+        ones. Falling back to other peers keeps requests from being refused while the preferred
+        ones are full or failing and others have free slots.
         """
         if not self._limit or len(usable) <= self._limit:
             return candidates
--- a/libs/routing/oleander_routing/retries.py
+++ b/libs/routing/oleander_routing/retries.py
@@ -1,22 +1,24 @@
-"""How often and how soon a request may be tried again."""
+"""Retry budgets and backoff."""
 
 import collections
 import random
 import threading
 
 _RETRY_COST = 100
-"""A retry costs this; fresh work earns its percentage."""
+"""Credit that a retry costs; a first attempt earns `percent` of credit."""
 _MAX_CUSTOMERS = 1000
+"""Bounds the memory; the budget that was not used for longest is dropped first."""
 _MAX_DOUBLINGS = 30
+"""Bounds the power of two; attempts may be any number."""
 
 
 class RetryBudget:
     """
-    Retries as a part of fresh work; safe to use from several threads.
+    Limits retries to a percentage of first attempts; thread-safe.
 
-    Without it a backend that begins to fail gets each request several times over, and the retries
-    keep it down after the cause has gone. With it the extra work is bounded whatever fails. One
-    retry is there from the start; at most `most_tokens` are saved, and further ones are lost.
+    Without a limit a backend that begins to fail would get each request several times, and the
+    retries would keep it overloaded after the cause is gone. The budget starts with one retry and
+    saves up at most `max_retries`; credit beyond that is lost.
     """
 
     def __init__(self, percent: int, max_retries: int) -> None:
@@ -27,16 +29,16 @@
 
     @property
     def percent(self) -> int:
-        """How many retries a hundred fresh requests earn."""
+        """Retries that a hundred first attempts earn."""
         return self._percent
 
     def record_first_attempt(self) -> None:
-        """Count a request that is no retry."""
+        """Add the credit that a first attempt earns."""
         with self._lock:
             self._credit = min(self._max_credit, self._credit + self._percent)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; return whether there was one."""
+        """Spend the credit of one retry; return False if there is too little."""
         with self._lock:
             if self._credit < _RETRY_COST:
                 return False
@@ -46,10 +48,10 @@
 
 class RetryBudgets:
     """
-    One budget for each customer; safe to use from several threads.
+    One retry budget per customer; thread-safe.
 
-    At most 1000 customers have one; past that the one not used for longest starts anew when it
-    comes back, with a single retry.
+    At most 1000 budgets are kept; beyond that the one that was not used for longest is dropped,
+    and its customer starts again with a single retry.
     """
 
     def __init__(self, max_retries: int) -> None:
@@ -58,7 +60,7 @@
         self._lock = threading.Lock()
 
     def find_budget(self, customer: str, percent: int) -> RetryBudget:
-        """Return a customer's budget; it starts anew when the contract's percentage changes."""
+        """Return a customer's budget; a new one if the contract's percentage has changed."""
         with self._lock:
             budget = self._budgets.get(customer)
             if budget is None or budget.percent != percent:
@@ -71,10 +73,11 @@
 
 def compute_backoff(attempt: int, base_ms: int, max_ms: int, random_source: random.Random) -> int:
     """
-    Return how long to wait before a retry, the first being attempt 0.
+    Return the milliseconds to wait before a retry; the first retry is attempt 0.
 
-    The wait is drawn from the whole range up to the doubled bound ("full jitter"), since with less
-    jitter those that failed together come back together.
+    Exponential backoff with full jitter: the wait is drawn from 0 to `base_ms` doubled for each
+    attempt, at most `max_ms`. With less jitter, requests that failed together would be retried
+    together.
     """
     bound_ms = min(max_ms, base_ms * 2 ** min(attempt, _MAX_DOUBLINGS))
     return random_source.randint(0, max(0, bound_ms))
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server of a request from what is known of all of them."""
+"""Chooses the backend server for each request by load, health, version and affinity."""
 
 import collections.abc
 import dataclasses
@@ -14,69 +14,71 @@
 NO_PEERS = "no-peers"
 """No backend server of that name is connected."""
 NONE_IN_ROTATION = "none-in-rotation"
-"""All of them are leaving or out of rotation."""
+"""All servers of the backend are leaving or out of rotation."""
 NO_VERSION = "no-version"
-"""None of them has weights that are new enough."""
+"""No usable server has loaded the required weight version."""
 ALL_EXCLUDED = "all-excluded"
-"""All that could have run it were tried already."""
+"""All servers that could run the request were tried already."""
 
 WINDOWS_FULL = "windows-full"
-"""All that could run it have as much of this entry as they may."""
+"""The windows of all servers that could run the request are full."""
 
 _MAX_PEERS = 4096
+"""Bounds the memory; further peers are ignored."""
 _PROBE_FRACTION = 0.01
-"""The part of requests that may probe an ejected peer."""
+"""Fraction of first attempts that go to an ejected peer as a probe."""
 _WINDOWED_PROBE_FRACTION = 0.05
-"""The same of work that can wait, which comes by some fifty at a time: one or two of them."""
+"""The same for windowed requests: one or two out of a batch of some fifty."""
 _MIN_RETRY_AFTER_MS = 50
 _DEFAULT_RETRY_AFTER_MS = 1000
+"""Used where no usable peer predicts a waiting time."""
 
 
 class RouteOutcome(enum.Enum):
-    """What became of a request at a peer."""
+    """How a request that was sent to a peer ended."""
 
     OK = "ok"
     REFUSED = "refused"
-    """It was refused as not run, which says nothing against the peer."""
+    """Refused without being run; doesn't count as a failure of the peer."""
     FAILED = "failed"
     TIMED_OUT = "timed-out"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RouteRequest:
-    """What a request needs of a peer."""
+    """The requirements by which a peer is chosen."""
 
     backend: str
     affinity: str
-    """The prompt prefix; may be empty."""
+    """The prompt prefix, for the peers' prefix caches; empty for no affinity."""
     priority: int
     oldest_version: int
-    """Peers with older weights are of no use; -1 where weights don't matter."""
+    """The lowest acceptable weight version; -1 if any will do."""
     excluded: frozenset[str]
-    """Peers that were tried already."""
+    """Names of peers that must not be chosen, as they were tried already."""
     budget_ms: int
     may_probe: bool = True
-    """Whether it may be sent to a peer that failed lately; false where it can't be repeated."""
+    """Whether it may probe an ejected peer; False for requests that must not be repeated."""
     model: str = ""
-    """The model that `oldest_version` is of, where peers have several."""
+    """The model to which `oldest_version` applies, if peers have several models."""
     is_windowed: bool = False
-    """Whether it waits while the peers' windows are full."""
+    """Whether it is deferrable and therefore limited by each peer's request window."""
     expected_events: float = 0.0
-    """How many events its stream is expected to have; 0 where that is unknown."""
+    """Expected number of events in its stream; 0 if unknown."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class FreePeer:
-    """A peer that could begin with a request at once."""
+    """A peer that seems to have a free slot."""
 
     name: str
     event_interval_ms: float
-    """From one event of a stream to the next; 0 where that is unknown."""
+    """Average time between two events of a stream; 0 if unknown."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NoPeer:
-    """No peer can run the request now."""
+    """Why no peer can run a request now, and when to try again."""
 
     reason: str
     retry_after_ms: int
@@ -84,9 +86,9 @@
 
 class Router:
     """
-    The peers of one entry; safe to use from several threads.
+    Chooses among the peers of one entry; thread-safe.
 
-    At most 4096 peers are known; past that a new one is not taken in, and gets no work.
+    At most 4096 peers are kept; further ones are ignored and get no requests.
     """
 
     def __init__(
@@ -95,7 +97,7 @@
         read_now: collections.abc.Callable[[], float] = clock.read_now,
         preferred_peers: preferred.PreferredPeers | None = None,
     ) -> None:
-        """Keep to the preferred peers, where they are given, with work that can't wait."""
+        """Create a router; `preferred_peers`, if given, applies to requests without a window."""
         self._random = random.Random(seed)
         self._preferred = preferred_peers or preferred.PreferredPeers("", 0)
         self._read_now = read_now
@@ -105,14 +107,14 @@
         self._listed_leaving: frozenset[str] = frozenset()
 
     def update(self, name: str, report: peers.PeerReport) -> None:
-        """Take in a report; one of a new incarnation starts the peer anew."""
+        """Apply a peer's report; one with a new incarnation resets the peer's state."""
         with self._lock:
             now = self._read_now()
             peer = self._peers.get(name)
             if peer is not None and peer.incarnation == report.incarnation:
                 peer.apply_report(report, now)
             elif peer is None and len(self._peers) >= _MAX_PEERS:
-                log.warn_bounded("too-many-peers", "a peer is not taken in", peer=name)
+                log.warn_bounded("too-many-peers", "peer limit reached, peer ignored", peer=name)
             else:
                 self._health.reset_if_restarted(name, report.incarnation)
                 self._peers[name] = peers.create_peer(name, report, now)
@@ -120,7 +122,7 @@
             self._health.readmit_excess(self._list_usable(report.backend), now)
 
     def remove(self, name: str) -> None:
-        """Forget a peer whose link was lost."""
+        """Remove a peer whose link was lost; its health is kept."""
         with self._lock:
             peer = self._peers.pop(name, None)
             if peer is not None:
@@ -128,11 +130,11 @@
 
     def set_listed_leaving(self, names: frozenset[str]) -> None:
         """
-        Give no more work to the peers that the host list says are leaving, and to no others.
+        Set which peers the host list marks as leaving; these get no more requests.
 
-        The names are kept apart from what is known of each peer. Kept with the peer they were
-        lost with its link, and a leaving host whose link broke while the list was down got work
-        again; and a list that was wrong and put right would have no effect until a restart.
+        Replaces the earlier set, so that a correction of the host list takes effect without a
+        restart. The names are stored apart from the peers, because a peer is removed with its
+        link: a leaving host whose link broke while the host list was down got work again.
         """
         with self._lock:
             self._listed_leaving = names
@@ -142,7 +144,7 @@
                 self._health.readmit_excess(self._list_usable(backend), self._read_now())
 
     def choose(self, request: RouteRequest) -> expression.Result[str, NoPeer]:
-        """Return the peer that is to run a request, or why there is none."""
+        """Return the name of the peer that is to run a request, or why there is none."""
         with self._lock:
             candidates = self._find_candidates(request)
             if candidates.is_error():
@@ -150,7 +152,7 @@
             return expression.Ok(self._pick(candidates.ok, request).name)
 
     def record_started(self, name: str, is_windowed: bool = False) -> None:
-        """Count a request that is being sent to a peer."""
+        """Record that a request is being sent to a peer."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
@@ -159,28 +161,28 @@
                     peer.window.record_started(self._read_now(), self._random.random())
 
     def add_pending_stream(self, name: str) -> None:
-        """Count a stream that was sent to a peer and has not begun."""
+        """Record a stream that was sent to a peer and has produced no event yet."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
                 peer.pending_streams += 1
 
     def remove_pending_stream(self, name: str) -> None:
-        """Count a stream no longer that has begun, or has ended without beginning."""
+        """Record that a pending stream has produced its first event, or ended without one."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
                 peer.pending_streams = max(0, peer.pending_streams - 1)
 
     def record_event_interval(self, name: str, event_interval_ms: float) -> None:
-        """Update the rate of a peer: the time from one event of a stream to the next."""
+        """Update a peer's average time between two events of a stream."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
                 peer.record_event_interval(event_interval_ms)
 
     def record_accepted(self, name: str, started_at: float) -> None:
-        """Take in that a peer has begun with a request that was sent at this time, or ran it."""
+        """Record that a peer has begun to run a request that was sent at `started_at`."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
@@ -191,7 +193,7 @@
     def record_finished(
         self, name: str, outcome: RouteOutcome, service_ms: float, now: float | None = None
     ) -> None:
-        """Count a request that ended, and judge the peer by it."""
+        """Record how a request ended, and update the peer's window, latency and health."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is None:
@@ -214,10 +216,11 @@
 
     def find_free_peer(self, request: RouteRequest) -> FreePeer | None:
         """
-        Return the fastest trusted peer with the version that seems to have a free slot, if any.
+        Return the fastest healthy peer that seems to have a free slot, if any.
 
-        Peers that refuse work or whose weights are too old count for nothing: work that is
-        cancelled for a place there only goes back to those that it came from.
+        Used to decide whether running work is cancelled to be run elsewhere. Peers that refuse
+        requests or whose weights are too old are left out: the cancelled work would be sent back
+        to the peers that it came from.
         """
         with self._lock:
             now = self._read_now()
@@ -238,7 +241,7 @@
         )
 
     def list_peers(self) -> list[peers.Peer]:
-        """Return copies of all peers as they are now."""
+        """Return copies of all peers, with estimates as of now."""
         with self._lock:
             for backend in {peer.backend for peer in self._peers.values()}:
                 self._refresh_estimates(
@@ -259,7 +262,7 @@
         ]
 
     def _refresh_estimates(self, candidates: list[peers.Peer]) -> None:
-        """Bring up to date what changes with time."""
+        """Update the loads and weights, which change with time."""
         now = self._read_now()
         loads.estimate_loads(candidates, now)
         for peer in candidates:
@@ -292,13 +295,13 @@
 
     def _filter_open_windows(self, candidates: list[peers.Peer]) -> list[peers.Peer]:
         """
-        Return the peers whose windows are open; ejected ones beside others, to be probed.
+        Return the candidates whose windows are open, or none if only ejected ones are open.
 
-        A server that refuses connections has nothing in flight, so its window is open when all
-        others are full; work that only waits for a place would be sent there over and over. So
-        where no trusted peer is open there is none, unless all are ejected. Left out altogether
-        an ejected peer never came back: a server that was slow for 8 s got no batch work of that
-        process for the rest of the day.
+        A server that refuses connections has nothing in flight, so its window stays open when all
+        others are full, and waiting requests would be sent there over and over. Ejected peers are
+        therefore returned only beside a healthy one, or if all candidates are ejected. They must
+        not be left out altogether, or they are never probed: a server that was slow for 8 s got
+        no batch work from that process for the rest of the day.
         """
         now = self._read_now()
         open_peers = [peer for peer in candidates if _can_take_windowed(peer, now)]
@@ -325,7 +328,7 @@
     def _pick_probe(
         self, candidates: list[peers.Peer], request: RouteRequest
     ) -> peers.Peer | None:
-        """Return an ejected peer to try, for a small part of first attempts; one at a time."""
+        """Return an ejected peer for a small fraction of first attempts, one probe at a time."""
         if not request.may_probe or request.excluded:
             return None
         ejected = [peer for peer in candidates if peer.weight == 0.0 and not peer.in_flight]
@@ -335,7 +338,7 @@
         return self._random.choice(ejected)
 
     def _refuse(self, reason: str, wait_ms: int) -> NoPeer:
-        """Return a refusal; the jitter keeps those refused together from coming back together."""
+        """Return a refusal; the jitter keeps callers from all retrying at the same time."""
         retry_after_ms = max(_MIN_RETRY_AFTER_MS, wait_ms) * (1.0 + self._random.random())
         return NoPeer(reason, int(retry_after_ms))
 
@@ -355,9 +358,9 @@
 
 
 def _log_window_change(peer: peers.Peer, was_refusing: bool) -> None:
-    """Log that a peer has begun to refuse, or takes work again."""
+    """Log when a peer starts to refuse windowed requests, and when it accepts them again."""
     if peer.window.is_refusing != was_refusing:
         event = "server-takes" if was_refusing else "server-refuses"
         log.logger.bind(event=event, server=peer.name, window=round(peer.window.size, 2)).info(
-            "work that can wait"
+            "windowed requests"
         )
--- a/libs/routing/oleander_routing/selection.py
+++ b/libs/routing/oleander_routing/selection.py
@@ -1,4 +1,4 @@
-"""Pick one of several peers by load, by rate, or by where a prompt prefix is cached."""
+"""Selection of a peer by load, stream speed or prompt prefix."""
 
 import math
 import random
@@ -7,22 +7,22 @@
 from oleander_routing import peers
 
 _MAX_LOAD_RATIO = 1.25
-"""How far above the mean load a peer may be and still be given work for its prefixes."""
+"""Multiple of the mean load up to which a peer is given requests for its prefixes."""
 _HASH_RANGE = 2.0**64
 _MAX_DELAY_MS = 400
-"""The most by which a stream may be expected to end later than on the fastest peer."""
+"""A peer is too slow if a stream is expected to end later there by more than this."""
 _EQUAL_INTERVAL_RATIO = 1.15
-"""Peers whose rates differ by a smaller factor count as equally fast: load alone changes rates."""
+"""Peers whose event intervals differ by less count as equally fast, as load changes them too."""
 
 
 def pick_by_load(
     candidates: list[peers.Peer], budget_ms: int, random_source: random.Random
 ) -> peers.Peer:
     """
-    Return the less loaded of two random peers.
+    Return the less loaded of two random peers ("power of two choices").
 
-    The least loaded of all would be the same one for every entry until the next reports, and all
-    would send to it at once. Two random choices are nearly as even and don't herd.
+    The least loaded of all peers would be the same for every entry until the next reports, and
+    all would send to it at once. Two random choices balance nearly as well and avoid that.
     """
     first = _pick_weighted(candidates, random_source)
     others = [peer for peer in candidates if peer is not first]
@@ -36,11 +36,13 @@
     candidates: list[peers.Peer], prefix: str, budget_ms: int
 ) -> peers.Peer | None:
     """
-    Return the first peer in the prefix's rank that is not overloaded, or nothing.
+    Return the first peer that is not overloaded in the prefix's ranking, or None.
 
-    Each prefix ranks the peers by a hash, so that every entry agrees and a peer that comes or goes
-    moves only its own prefixes. A popular prefix would overload its first peer; above the bound
-    it goes to the next in rank, which then has it cached too.
+    Rendezvous hashing with bounded loads: each prefix ranks the peers by a hash, so that all
+    entries agree and a peer that joins or leaves moves only its own prefixes. A popular prefix
+    would overload its first peer; above `_MAX_LOAD_RATIO` it goes to the next in the ranking,
+    which then caches it too. A peer that was just readmitted gets a fixed part of its prefixes,
+    by its weight.
     """
     slots = sum(max(1, peer.slots) for peer in candidates)
     outstanding = sum(peer.outstanding for peer in candidates) + 1
@@ -55,9 +57,9 @@
 
 def filter_by_event_interval(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
-    Return the fastest of those that seem to have a free slot, else all that are fast enough.
+    Return the fastest candidates with a free slot, else all that are fast enough.
 
-    The events are those that the stream is expected to have; 0 where that is unknown.
+    `events` is the expected number of events in the stream; 0 if unknown.
     """
     fast = _drop_slow(candidates, events)
     free = [peer for peer in fast if peer.has_free_slot]
@@ -66,10 +68,11 @@
 
 def _drop_slow(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
-    Return the peers on which a stream ends little later than on the fastest; unknown ones too.
+    Return the peers where a stream ends at most `_MAX_DELAY_MS` later than on the fastest.
 
-    The longest texts decide when a step is whole. On a peer that is a third slower they end
-    seconds later, while short ones lose less there than by waiting for a faster one.
+    Peers of unknown speed are kept. The longest texts decide when a training step is complete: on
+    a peer that is a third slower they end seconds later, while short texts lose less there than
+    by waiting for a faster peer.
     """
     fastest = min(
         (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
@@ -81,7 +84,7 @@
 
 
 def _keep_fastest(candidates: list[peers.Peer]) -> list[peers.Peer]:
-    """Return the peers that are about as fast as the fastest, and unknown ones."""
+    """Return the peers that are about as fast as the fastest, and those of unknown speed."""
     fastest = min(
         (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
     )
--- a/libs/routing/oleander_routing/subset.py
+++ b/libs/routing/oleander_routing/subset.py
@@ -1,4 +1,4 @@
-"""Which sidecars an entry connects to when there are too many for all."""
+"""Deterministic choice of the hosts that an entry connects to."""
 
 import collections
 import dataclasses
@@ -8,22 +8,22 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SubsetHost:
-    """A host that may be chosen."""
+    """A host that can be chosen, and the groups over which choices are spread."""
 
     name: str
     failure_domain: str
     backend: str = ""
-    """The group of backend servers, where it is known."""
+    """Name of its group of backend servers; empty if unknown."""
 
 
 def choose_subset(entry_name: str, hosts: list[SubsetHost], size: int) -> list[str]:
     """
-    Return the names of at most so many hosts, evenly from backends and failure domains.
+    Return the names of at most `size` hosts, spread evenly over backends and failure domains.
 
-    Rendezvous hashing: each entry ranks all hosts by a hash of both names and takes the first of
-    each domain. A host that comes or goes changes one choice at most, unless it is the first or
-    last of its domain or backend. Nothing is agreed between entries, so the number of entries that
-    choose one host varies as independent draws do.
+    Rendezvous hashing: each entry ranks all hosts by a hash of its own and the host's name, and
+    takes the first of each domain. A host that joins or leaves changes at most one choice, unless
+    it is the first or last of its domain or backend. Entries don't coordinate, so the number of
+    entries per host varies as with independent random choices.
     """
     if len(hosts) <= size:
         return sorted(host.name for host in hosts)
@@ -49,7 +49,7 @@
 def _divide_evenly(
     entry_name: str, groups: dict[str, list[SubsetHost]], size: int
 ) -> dict[str, int]:
-    """Share out places: the same for each group, more where others are too small to use theirs."""
+    """Divide `size` evenly among the groups; what small groups can't use goes to the others."""
     sizes = dict.fromkeys(groups, 0)
     ranked = sorted(groups, key=lambda name: _rank(entry_name, name))
     remaining = min(size, sum(len(members) for members in groups.values()))
--- a/libs/routing/oleander_routing/windows.py
+++ b/libs/routing/oleander_routing/windows.py
@@ -1,68 +1,72 @@
-"""How much work that can wait an entry may have at one server."""
+"""Adaptive limit on the deferrable requests that an entry has in flight at a server."""
 
 import dataclasses
 
 INITIAL_WINDOW = 2.0
-"""Requests in flight at first, in multiples of a server's slots: one batch runs, one waits, so
-that long texts are handed over at the start of a step."""
+"""
+Initial limit, in multiples of the server's slots.
+
+One batch runs and one waits, so that long texts reach a server at the start of a training step.
+"""
 _MAX_WINDOW = 3.0
-"""What is above it waits at the server, where it can't go elsewhere any more."""
+"""In multiples of the slots; requests queued at a server can't move to another any more."""
 _MIN_WINDOW = 1.0
-"""A refusal says that a server was full or is loading weights, not that it is slow."""
+"""In multiples of the slots; a refusing server is full or loads weights, but is not slow."""
 _TRIAL_INTERVAL_FRACTION = 0.25
-"""Of the time for which a server has refused, until the next trial."""
+"""Pause before the next trial, as a fraction of the time for which a server has refused."""
 _MIN_TRIAL_INTERVAL_SECONDS = 0.1
-"""Between two trials; some round trips, and a small part of a short load."""
+"""Covers some round trips, and is a small part of a short load of weights."""
 _MAX_TRIAL_INTERVAL_SECONDS = 0.4
-"""Between two trials at a server that refuses for long; a server that takes work again stands idle
-until then."""
+"""Bounds how long a server that accepts requests again stays idle until the next trial."""
 _MIN_REFUSAL_TTL_SECONDS = 1.0
-"""A server that refused is believed to refuse for so long at least without another refusal."""
+"""Minimum time after a refusal for which the server is assumed to refuse further requests."""
 _REFUSAL_TIMEOUT_SECONDS = 0.06
-"""A server that refuses does so at once: a trial that is not refused by then is queued or
-running."""
+"""A trial that is not refused within this time was accepted, as servers refuse at once."""
 
 
 @dataclasses.dataclass(slots=True)
 class RequestWindow:
     """
-    Adapts to what a server takes; not thread-safe.
+    Limits the windowed requests in flight at one server; not thread-safe.
 
-    Entries know nothing of each other's requests at a server. With a fixed number of slots each,
-    they fill it together, and nine of ten requests are refused and sent again.
+    The limit grows with successes and is halved by a refusal. Entries don't know of each other's
+    requests at a server: with a fixed limit each, they fill it together, and nine of ten requests
+    are refused and sent again.
 
-    A server that has refused is tried with one request at a time until it takes one. It loads
-    weights, or is full; with the whole window sent again after each pause, a server that loaded
-    for 0.9 s refused some 60 requests, and one that loaded for 2.8 s several hundred.
+    After a refusal the server is full or loads weights. It then gets one request at a time, a
+    trial, until one is accepted. When the whole window was sent again after each pause, a server
+    that loaded for 0.9 s refused some 60 requests, and one that loaded for 2.8 s several hundred.
 
-    Waiting until the server has begun with a trial instead left it idle: its slots may be taken
-    for long by what it went on with, and what it could queue meanwhile was not sent.
+    A trial counts as accepted once it is not refused in time. Waiting for the server to begin
+    with the trial left servers idle: their slots may be held for long by earlier requests, and
+    the requests that they could have queued meanwhile were not sent.
 
-    A refusal is believed for as long as the server was seen to refuse, and a second at least.
-    Nothing is tried while there is no work; the next step then began with a single trial, which
-    met the next load, and on a quiet day a server of four had no work for three steps.
+    A refusal expires after the time for which the server was seen to refuse, at least one second.
+    Trials need requests, so none are made between training steps. Without the expiry the next
+    step began with a single trial, which met the next load of weights, and at low traffic one
+    server of four got no work for three steps.
     """
 
     size: float = INITIAL_WINDOW
-    """How many requests may be in flight, in multiples of the server's slots."""
+    """Maximum of requests in flight, in multiples of the server's slots."""
     refusing_since: float | None = None
-    """Since when it has refused everything; nothing while it takes requests."""
+    """Time of the first refusal since a request was accepted; None while none was refused."""
     refused_at: float = 0.0
-    """When it last refused."""
+    """Time of the last refusal."""
     last_refusing_seconds: float = 0.0
-    """For how long it refused the last time that it did."""
+    """How long the server refused requests the last time."""
     next_trial_at: float = 0.0
-    """While it refuses, nothing is sent before this time."""
+    """Earliest time of the next trial while the server refuses."""
     trial_sent_at: float | None = None
-    """When a trial was sent that has not been refused yet."""
+    """Time of a trial that was not refused yet; None if there is none."""
 
     @property
     def is_refusing(self) -> bool:
-        """Whether the server has refused, and took nothing since."""
+        """Whether the server has refused a request and accepted none since."""
         return self.refusing_since is not None
 
     def is_open(self, in_flight: int, slots: int, now: float) -> bool:
-        """Tell whether one more request may be sent."""
+        """Return whether one more request may be sent now."""
         if in_flight >= int(self.size * slots):
             return False
         if self.trial_sent_at is not None and now >= self.trial_sent_at + _REFUSAL_TIMEOUT_SECONDS:
@@ -72,27 +76,27 @@
         return self.refusing_since is None or now >= self.next_trial_at
 
     def record_started(self, now: float, jitter: float) -> None:
-        """Take in that a request is sent; to a server that refuses, it is the trial."""
+        """Record that a request is sent; if the server refuses, that request is the trial."""
         if self.refusing_since is not None:
             self.trial_sent_at = now
             self._schedule_trial(now, jitter)
 
     def record_accepted(self, started_at: float) -> None:
         """
-        Take in that the server has begun with a request, or has answered it.
+        Record that the server has begun to run a request that was sent at `started_at`.
 
-        One that was sent before the refusals began proves nothing: servers that load weights go
-        on with what they run.
+        A request from before the first refusal does not end the refusing state: servers that load
+        weights go on with the requests that they already run.
         """
         if self.refusing_since is not None and started_at >= self.refusing_since:
             self._end_refusing(started_at)
 
     def record_refused(self, now: float, jitter: float) -> None:
         """
-        Take in a refusal; the first of several halves the window.
+        Record a refusal; only the first of a series halves the window.
 
-        All that waits at a server is refused at once when it begins to load; counted one by one,
-        they would say that it takes next to nothing.
+        A server that starts to load weights refuses all queued requests at once. If each of them
+        counted, the window would shrink to its minimum every time.
         """
         if self.refusing_since is None:
             self.refusing_since = now
@@ -102,12 +106,12 @@
         self._schedule_trial(now, jitter)
 
     def record_success(self, slots: int) -> None:
-        """Take in a success; the window grows by one for each window of them."""
+        """Record a success; a whole window of successes lets one more request in flight."""
         self.size = min(_MAX_WINDOW, self.size + 1.0 / (self.size * slots * slots))
 
     @property
     def _refusal_ttl_seconds(self) -> float:
-        """For how long the last refusal tells that the next request would be refused too."""
+        """How long after the last refusal the server is assumed to refuse further requests."""
         since = self.refused_at if self.refusing_since is None else self.refusing_since
         return max(_MIN_REFUSAL_TTL_SECONDS, self.last_refusing_seconds, self.refused_at - since)
 
@@ -118,7 +122,7 @@
         self.trial_sent_at = None
 
     def _schedule_trial(self, now: float, jitter: float) -> None:
-        """Allow the next trial after a pause; a jitter of 0 to 1 spreads those of entries."""
+        """Set the next trial; a jitter from 0 to 1 spreads the trials of several entries."""
         since = now if self.refusing_since is None else self.refusing_since
         seconds = min(_MAX_TRIAL_INTERVAL_SECONDS, (now - since) * _TRIAL_INTERVAL_FRACTION)
         self.next_trial_at = now + max(_MIN_TRIAL_INTERVAL_SECONDS, seconds) * (1.0 + jitter / 4)
