--- a/features/refusals.feature
+++ b/features/refusals.feature
@@ -1,16 +1,16 @@
-Feature: What a runner hands to servers that refuse
-  Simulated time. Each of 4 servers runs 12 texts at once and queues as many more, each for a second; while it loads weights it goes on
-  with what it runs and refuses all else. A runner hands out what the windows allow, and what was refused again.
+Feature: How a batch runner sends texts to servers that refuse
+  Simulated time. Each of 4 servers runs 12 texts at once, each for a second, and queues 12 more. While it loads weights it finishes
+  the texts that it runs and refuses all others. The runner sends texts as far as the windows allow, and sends refused ones again.
 
   Scenario Outline: A server that loads weights is tried with one text at a time
-    # Nothing waits at a loading server, so it looks the least loaded of all, and every text that
-    # waits for a place is sent there: some eleven at a time, six times a second. Each is refused,
-    # takes a connection, and is then late for a place that gets free at another server.
-    # Tried too seldom the server would stand idle once it has loaded, and a slow load is no other.
-    Given a runner with <texts> texts before 4 servers
+    # A loading server has an empty queue and so looks least loaded: every waiting text was sent there,
+    # some eleven at a time, six times a second. Each used a connection, was refused, and then missed
+    # a slot that became free at another server.
+    # With too few trials a server stays idle after its load; this holds for slow loads as well.
+    Given a runner with <texts> texts for 4 servers
     When <loading> of them load weights for <seconds> s
-    Then a server that loads refuses at most <most> trials
-    And a server that has loaded and has a place gets work within <idle> s, and is full within another 0.1 s
+    Then each loading server refuses at most <most> trials
+    And each loaded server with a free slot gets a text within <idle> s, and is full within another 0.1 s
 
     Examples:
       | texts | loading | seconds | most | idle |
@@ -20,35 +20,36 @@
       | 200   | 4       | 0.9     | 32   | 0.3  |
       | 400   | 2       | 8.0     | 60   | 0.6  |
 
-  Scenario: A server that refuses for ever is tried a few times a second
-    # It holds up nobody: the others take the work. Tried in a tight loop it costs connections.
-    Given a runner with 2000 texts before 4 servers
+  Scenario: A server that refuses permanently is tried a few times a second
+    # It delays no text, as the other servers take them. Trials in a tight loop would use up connections.
+    Given a runner with 2000 texts for 4 servers
     When 1 of them load weights for 40 s
-    Then a server that loads refuses at most 140 trials
-    And texts were done at no less than 0.99 of what the others can do
+    Then each loading server refuses at most 140 trials
+    And at least 0.99 of the texts that the other servers can run have ended
 
-  Scenario Outline: What ends at a loading server says nothing of its load
-    # Texts that it ran before go on and end. Taken for a sign that it takes work, each end would
-    # send it a window of texts, all refused.
+  Scenario Outline: A text that ends at a loading server does not end the refusing state
+    # Texts that ran before the load go on to their end. If such an end counted as acceptance, a whole
+    # window of texts would be sent each time, and all refused.
     Given a router with the peers p1 p2
     When p1 refuses a windowed request after a long one began
     And the long one ends well
-    Then p1 takes no windowed request yet
+    Then p1 accepts no windowed request yet
     When a trial after 0.5 s <is taken> there
-    Then p1 takes windowed requests again
+    Then p1 accepts windowed requests again
 
     Examples:
       | is taken             |
       | begins               |
       | is not refused       |
 
-  Scenario Outline: A refusal from before a pause says little of the next step
-    # A step is over before a server that refused was tried again. The next begins with one trial
-    # there, at the moment when weights load anew; all else is queued at the other servers, and the
-    # server stands idle for that step too. One that refuses for longer is believed for longer.
+  Scenario Outline: A refusal expires during the pause between two steps
+    # Guards against a server that gets no work for several steps. It refused at the end of a step and
+    # was not tried again; if the refusal did not expire, the next step would begin with a single trial
+    # there, just when weights load again, and queue all other texts elsewhere. A server that has refused
+    # for longer is assumed to go on refusing for longer.
     Given 4 servers of 12 slots, of which one refused 16 texts at once and then trials for <refused> s
-    When a step of 48 texts is handed out <pause> s later
-    Then that server is given <least> to <most> of them
+    When a step of 48 texts is sent <pause> s later
+    Then that server gets <least> to <most> of them
 
     Examples:
       | refused | pause | least | most |
@@ -60,19 +61,19 @@
       | 2.8     | 3.8   | 10    | 14   |
       | 20      | 3.8   | 1     | 1    |
 
-  Scenario: A server that was slow has its part of batches again
-    # A slow server is ejected. Texts that can wait are given to the others, none of them ever asks
-    # whether it is slow still, and a fourth of the engines is lost to that process for the day.
+  Scenario: A server that was slow gets its share of batches again
+    # A slow server is ejected. If windowed texts went only to the other servers, none would probe it,
+    # and that process would not use a fourth of the engines for the rest of the day.
     Given 4 servers of 12 slots, of which one is ejected for being slow
-    When steps of 48 texts are handed out each 4 s for 40 s, and all are done at the same speed
-    Then that server is given 10 to 14 of the last step's
-    And it was given 2 at most in the first
+    When steps of 48 texts are sent every 4 s for 40 s, and all servers are equally fast
+    Then that server gets 10 to 14 texts of the last step
+    And it got at most 2 texts of the first step
 
-  Scenario: A server that refuses has no spare place
-    # Guards against texts that are cancelled where they run and then refused by one loading server after another.
+  Scenario: A server that refuses has no free slot to offer
+    # Guards against texts that are cancelled to be moved, and then refused by one loading server after another.
     Given a router with the peers p1 p2
     When p1 refuses a windowed request after a long one began
-    Then only p2 has a spare place
+    Then only p2 has a free slot to offer
     When a trial after 0.5 s begins there
     And the long one ends well
-    Then p1 and p2 have spare places
+    Then p1 and p2 have free slots to offer
--- a/features/routing.feature
+++ b/features/routing.feature
@@ -1,5 +1,5 @@
 Feature: Routing from an entry to backend servers
-  A peer is written name,field=value...; it has 4 slots, is idle and in rotation unless it says else.
+  A peer is written name,field=value...; by default it has 4 slots, is idle and in rotation.
 
   Scenario Outline: A request goes only to a peer that can run it
     Given a router with the peers <peers>
@@ -19,8 +19,8 @@
       | p1,wait_ms=5000 p2,queued=9             | budget_ms=1000       | p2               |
       | p1,running=8,slots=16 p2,running=3      | any                  | p1               |
 
-  Scenario Outline: Without a peer the refusal says why and when to come back
-    # Nothing was sent, so the caller gets "not run" at once and may try again as it was told.
+  Scenario Outline: A refusal without a peer names the reason and when to retry
+    # Nothing was sent, so the caller gets "not run" at once and may retry after the given time.
     Given a router with the peers <peers>
     When routing 1 requests for <request>
     Then routing refused with <reason> for at least <least> ms
@@ -34,12 +34,12 @@
       | p1,wait_ms=700              | excluded=p1      | all-excluded     | 700   |
       | p1                          | excluded=p1      | all-excluded     | 50    |
 
-  Scenario Outline: What was started since the last report counts on top of it
-    # Reports lag: a peer that looked idle has this entry's burst in its queue. Counting only the
-    # reports would send the next burst there too, and its callers would wait or be refused.
+  Scenario Outline: Requests started since the last report are added to it
+    # Reports lag: a peer that was idle in its report may have this entry's burst in its queue. By the
+    # reports alone the next burst would go there too, and its callers would wait or be refused.
     Given a router with the peers p1 p2
     When routing starts <started> and finishes <finished> requests at p1
-    And routing hears again from <reported>
+    And routing gets new reports from <reported>
     And routing 50 requests for any
     Then routing chose only <chosen>
 
@@ -51,9 +51,9 @@
       | 3       | 0        | p1,running=3 p2,running=8 | p1 |
       | 0       | 0        | p1,running=3         | p2     |
 
-  Scenario Outline: An old report fades to the mean as fast as requests end
-    # Every entry sees the same old report. If all trusted it, the peer that was idle then would get
-    # everything until its next report, and the callers would wait there while others are idle.
+  Scenario Outline: The estimate from an old report decays to the mean as fast as requests end
+    # Every entry has the same old report. Without the decay the peer that was idle then would get all
+    # requests until its next report, and callers would wait there while other peers are idle.
     Given a router with the peers p1,running=<busy> p2
     When routing ends 10 requests at each of p1 p2 as ok in <latency> ms
     And routing time passes by <age> seconds
@@ -69,8 +69,8 @@
       | 40   | 10000   | 20  | p2     |
 
   Scenario: A prefix goes to the same peer from every entry and moves only when it must
-    # The prompt's start is cached at one engine; sending it elsewhere makes the caller wait for a
-    # new prefill. When a peer goes, only its own prefixes lose their cache.
+    # The prompt's prefix is cached at one engine; at another one the caller waits for a new prefill.
+    # When a peer leaves, only the prefixes that it had may lose their cache.
     Given a router with the peers p1 p2 p3 p4 p5
     When routing 200 prefixes
     Then routing seeds do not matter for prefixes
@@ -80,8 +80,8 @@
     Then routing moved only the prefixes of p3
 
   Scenario Outline: A popular prefix goes to the next in rank once its peer is overloaded
-    # All slots of the first peer are taken while others are idle; waiting for the cached prefix
-    # would cost its callers more than a new prefill elsewhere.
+    # With all slots of the first peer taken and other peers idle, waiting for the cached prefix would
+    # take longer than a new prefill elsewhere.
     Given a router with the peers p1 p2 p3 p4
     When routing starts <started> requests of one prefix
     Then routing sent <first> to the first, <second> to the second in its rank
@@ -92,9 +92,9 @@
       | 6       | 4     | 2      |
       | 8       | 4     | 4      |
 
-  Scenario Outline: A peer that answers worse than the others gets no more work
-    # A grey peer: links and reports are fine, but requests fail or take too long there, and since
-    # it is then idle it would be given even more. Callers see the failures until it is ejected.
+  Scenario Outline: A peer that fails or is slow compared with the others is ejected
+    # A peer with a partial failure: its link and reports are fine, but requests fail or take too long.
+    # It looks idle, so it would be given even more, and callers see failures until it is ejected.
     Given a router with the peers <peers>
     When routing ends 20 requests at each of <peers> as ok in 10 ms
     And routing ends <count> requests at each of <bad> as <outcome> in <service> ms
@@ -115,9 +115,9 @@
       | p1 p2       | p1          | 30    | failed    | 1       | p2          |
       | p1          | p1          | 30    | failed    | 1       | p1          |
 
-  Scenario: An ejected peer is probed, comes back bit by bit and is ejected again at once
-    # Probes are a small part of first attempts of work that may be repeated, one at a time: the
-    # caller of a failed probe is retried elsewhere. A peer trusted whole at once would get a burst.
+  Scenario: An ejected peer is probed, readmitted step by step and ejected again if it fails
+    # Probes are a small part of the first attempts of repeatable requests, one at a time: a failed probe
+    # is retried at another peer. A peer that got its full share at once would receive a burst.
     Given a router with the peers p1 p2 p3 p4
     When routing ends 4 requests at each of p1 as failed in 1 ms
     And routing 5000 requests for any
@@ -137,9 +137,9 @@
     And routing 2000 requests for may_probe=0
     Then routing chose p1 for 0 to 0 percent
 
-  Scenario: A peer on its way back gets some of its prefixes and has little credit
+  Scenario: A readmitted peer gets some of its prefixes and is ejected sooner
     # Prefixes return a few at a time, always the same ones, so that caches are not filled twice. A
-    # peer that fails again right away is ejected after two failures, not four.
+    # readmitted peer that fails again is ejected after two failures instead of four.
     Given a router with the peers p1 p2 p3 p4
     When routing ends 4 requests at each of p1 as failed in 1 ms
     And routing ends 3 requests at each of p1 as ok in 10 ms
@@ -152,13 +152,13 @@
     And routing 2000 requests for may_probe=0
     Then routing chose p1 for 0 to 0 percent
 
-  Scenario Outline: Ejection ends with the incarnation, not with the link, and yields to need
-    # A flapping link must not wash a grey peer clean, while a restarted sidecar starts anew. When
-    # the healthy ones leave, ejected peers are taken back rather than having most of them idle.
+  Scenario Outline: Ejection outlasts the link but not the incarnation, and never covers more than half
+    # A flapping link must not reset the health of a faulty peer, while a restarted sidecar starts anew.
+    # When healthy peers leave, ejected ones are readmitted, so that at most half are left unused.
     Given a router with the peers p1 p2 p3 p4
     When routing ends 4 requests at each of p1 p2 as failed in 1 ms
     And routing loses <lost>
-    And routing hears again from <reported>
+    And routing gets new reports from <reported>
     And routing 2000 requests for may_probe=0
     Then routing chose only <chosen>
 
@@ -171,14 +171,14 @@
       | nobody | p3,leaving=1 p4,leaving=1       | p2       |
       | p3     | nobody                          | p2 p4    |
 
-  Scenario Outline: The host list's word that a peer leaves holds as long as it says so
+  Scenario Outline: A peer gets no requests for as long as the host list marks it as leaving
     Given a router with the peers p1 p2
-    When routing is told that the host list has p1 as leaving
+    When the host list that routing reads marks p1 as leaving
     And routing loses <lost>
-    And routing hears again from <reported>
+    And routing gets new reports from <reported>
     And routing 50 requests for any
     Then routing chose only p2
-    When routing is told that the host list has <later> as leaving
+    When the host list that routing reads marks <later> as leaving
     And routing 50 requests for any
     Then routing chose only <chosen>
 
@@ -190,9 +190,9 @@
       | nobody | p1               | p2     | p1     |
       | nobody | p1,leaving=1     | nobody | p2     |
 
-  Scenario Outline: Retries are a bounded part of fresh work
-    # A backend that begins to fail would get each request several times over from its callers, and
-    # stay down. Past the budget the first failure is the caller's answer.
+  Scenario Outline: Retries are limited to a percentage of first attempts
+    # Without the limit a backend that begins to fail would get each request several times and stay
+    # overloaded. Beyond the budget the caller gets the first failure.
     Given a retry budget of <percent> percent and at most <most> tokens
     When <fresh> fresh requests each want <wanted> retries
     Then the retry budget allowed <allowed>
@@ -205,7 +205,7 @@
       | 100     | 10   | 100   | 2      | 101     |
       | 10      | 0    | 100   | 1      | 0       |
 
-  Scenario Outline: Saved retries and known customers are bounded
+  Scenario Outline: Saved retries and the number of budgets are bounded
     Given a retry budget of 10 percent and at most 5 tokens
     When <fresh> fresh requests want no retries
     And <customers> other customers get a retry budget
@@ -219,7 +219,7 @@
       | 1000  | 999       | 5    |
       | 1000  | 1000      | 1    |
 
-  Scenario Outline: Backoff is drawn from the whole range up to a bound that doubles
+  Scenario Outline: Backoff uses full jitter under a bound that doubles
     When backoff is drawn 1000 times for attempt <attempt> from 100 ms up to 2000 ms
     Then backoff was between 0 and <most> ms, on average near the middle
 
@@ -231,7 +231,7 @@
       | 5       | 2000 |
       | 9999    | 2000 |
 
-  Scenario Outline: A subset is even over backends and failure domains
+  Scenario Outline: A subset is spread evenly over backends and failure domains
     Given a subset is chosen from the hosts <hosts> by 10 entries of <size> each
     Then the subset has <spread> from each group
 
@@ -242,21 +242,21 @@
       | x:4 y:4             | 20   | x:4-4 y:4-4            |
       | x/a:50 y/a:50 x/b:3 y/b:3 | 20 | x/a:7-7 y/a:7-7 x/b:3-3 y/b:3-3 |
 
-  Scenario: A host that comes or goes changes one choice at most
-    # A changed choice is a closed and a new connection; a reshuffle would reconnect the fleet.
+  Scenario: A host that joins or leaves changes one choice at most
+    # Each change closes one connection and opens another; a full reshuffle would reconnect all hosts.
     Given a subset is chosen from the hosts x:50 y:50 z:50 by 10 entries of 20 each
     When each host of the subset's list is taken away in turn
     Then the subset never changed by more than 1 host, and by 0.12 to 0.15 on average
 
-  Scenario: Entries spread over sidecars as independent draws do
+  Scenario: Entries spread over sidecars as independent random choices do
     Given a subset is chosen from the hosts x:1000 y:1000 z:1000 by 420 entries of 20 each
     Then the subset's most chosen host has at most 3.6 times the mean
     And the subset left out at most 6 percent of hosts
 
-  Scenario Outline: An entry keeps to a few servers of many, and goes beyond them when it must
-    # Every entry with a connection to every server costs their product; in a fleet, connections idle
-    # out before they are used again, each request opens one, and servers run out of channels. Kept
-    # to a few even when those are full, leaving or failing, callers would be refused for nothing.
+  Scenario Outline: An entry uses a few preferred servers, and others when these are unavailable
+    # With a connection from every entry to every server, connections close as idle before they are used
+    # again, each request opens a new one, and servers run out of channels. If the preferred servers were
+    # the only ones, callers would be refused while these are full, leaving or failing.
     Given a router that prefers 4 peers, with the peers <peers>
     When the preferred peers are <state>
     And routing 200 requests for may_probe=0
@@ -272,12 +272,12 @@
       | a b c d e f g h               | failing   | 4     | none preferred  |
       | a,failure_domain=y b,failure_domain=y c d e f g h | as before | 4 | of both domains |
 
-  Scenario: Work that waits for places uses all servers
-    # One process gives out all items of a model; kept to a few servers it would leave the rest idle.
+  Scenario: Windowed requests use all servers
+    # One process sends all items of a model; with preferred servers only, the others would stay idle.
     Given a router that prefers 4 peers, with the peers a b c d e f g h
     When routing 200 windowed requests
     Then routing chose 8 peers, whichever
 
-  Scenario: Entries spread over the servers although each keeps to a few
+  Scenario: Preferred servers differ between entries, so that all servers are used
     Given 40 routers that prefer 6 of 14 peers
     Then each peer is preferred by 8 to 27 of them
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -1,4 +1,4 @@
-"""Steps for servers that refuse for a while; time is simulated."""
+"""Steps for servers that refuse requests for a while, with simulated time."""
 
 import dataclasses
 
@@ -8,37 +8,37 @@
 from oleander_routing import peers, router
 
 _TICK_SECONDS = 0.005
-"""Also how long a refusal takes to come back; what is handed out meanwhile meets the same."""
+"""Also the time until a refusal arrives; texts sent to that server meanwhile are refused too."""
 _SLOTS = 12
 _QUEUE = 12
 _TEXT_SECONDS = 1.0
-_LOAD_AT = 0.5
-_FULL_SECONDS = 0.1
+_LOAD_START_SECONDS = 0.5
+_FILL_SECONDS = 0.1
 _TRIAL_SECONDS = 0.4
 _EVENT_MS = 40
-_SLOWER = 10
+_SLOW_FACTOR = 10
 _ANSWERS_TO_EJECT = 20
 
 
 @dataclasses.dataclass(slots=True)
 class LoadingServer:
-    """A server that refuses all that has not begun while it loads."""
+    """A server that refuses all texts that it does not run yet while it loads weights."""
 
     name: str
-    loads_until: float = 0.0
+    loading_until: float = 0.0
     running: list = dataclasses.field(default_factory=list)
     queued: list = dataclasses.field(default_factory=list)
     refused: int = 0
     free_at: float = 0.0
-    worked_at: float = 0.0
+    busy_at: float = 0.0
     full_at: float = 0.0
 
     def is_loading(self, now):
-        return _LOAD_AT <= now < self.loads_until
+        return _LOAD_START_SECONDS <= now < self.loading_until
 
 
-class Simulation:
-    """A runner that hands out texts as often as windows allow."""
+class RunnerSimulation:
+    """A runner that sends texts to four servers as far as the windows allow."""
 
     def __init__(self, texts):
         self.now = 0.0
@@ -60,7 +60,7 @@
                 self._refuse(server)
             for server in self.servers:
                 self._advance(server)
-            self._hand_out()
+            self._send_texts()
 
     def _advance(self, server):
         ended = [item for item in server.running if item[1] <= self.now]
@@ -73,22 +73,22 @@
                 self._refuse(server)
             server.queued = []
             return
-        if self.now >= server.loads_until > 0.0 and len(server.running) < _SLOTS:
+        if self.now >= server.loading_until > 0.0 and len(server.running) < _SLOTS:
             server.free_at = server.free_at or self.now
         while server.queued and len(server.running) < _SLOTS:
             started_at = server.queued.pop(0)
             server.running.append((started_at, self.now + _TEXT_SECONDS))
             self.router.record_accepted(server.name, started_at)
-            self._note_work(server)
+            self._record_progress(server)
 
-    def _note_work(self, server):
+    def _record_progress(self, server):
         if not server.free_at:
             return
-        server.worked_at = server.worked_at or self.now
+        server.busy_at = server.busy_at or self.now
         if len(server.running) == _SLOTS:
             server.full_at = server.full_at or self.now
 
-    def _hand_out(self):
+    def _send_texts(self):
         request = dataclasses.replace(routing_steps.build_request("any"), is_windowed=True)
         refused = []
         while self.waiting:
@@ -111,9 +111,9 @@
         self.router.record_finished(server.name, router.RouteOutcome.REFUSED, 1)
 
 
-@behave.given("a runner with {texts:d} texts before 4 servers")
+@behave.given("a runner with {texts:d} texts for 4 servers")
 def create_runner(context, texts):
-    context.simulation = Simulation(texts)
+    context.simulation = RunnerSimulation(texts)
 
 
 @behave.when("{count:d} of them load weights for {seconds:g} s")
@@ -121,28 +121,28 @@
     context.loading = context.simulation.servers[:count]
     context.seconds = seconds
     for server in context.loading:
-        server.loads_until = _LOAD_AT + seconds
-    context.simulation.run(_LOAD_AT + seconds * 1.4 + 1.0)
+        server.loading_until = _LOAD_START_SECONDS + seconds
+    context.simulation.run(_LOAD_START_SECONDS + seconds * 1.4 + 1.0)
 
 
-@behave.then("a server that loads refuses at most {most:d} trials")
+@behave.then("each loading server refuses at most {most:d} trials")
 def check_trials(context, most):
     counts = [server.refused for server in context.loading]
     assert max(counts) <= most, counts
 
 
 @behave.then(
-    "a server that has loaded and has a place gets work within {idle:g} s, and is full within "
+    "each loaded server with a free slot gets a text within {idle:g} s, and is full within "
     "another 0.1 s"
 )
 def check_idle(context, idle):
     for server in context.loading:
-        assert server.worked_at, f"{server.name} got nothing"
-        assert server.worked_at - server.free_at <= idle, server.worked_at - server.free_at
-        assert server.full_at - server.worked_at <= _FULL_SECONDS, server
+        assert server.busy_at, f"{server.name} got nothing"
+        assert server.busy_at - server.free_at <= idle, server.busy_at - server.free_at
+        assert server.full_at - server.busy_at <= _FILL_SECONDS, server
 
 
-@behave.then("texts were done at no less than {part:g} of what the others can do")
+@behave.then("at least {part:g} of the texts that the other servers can run have ended")
 def check_done(context, part):
     simulation = context.simulation
     others = len(simulation.servers) - len(context.loading)
@@ -171,7 +171,7 @@
     context.router.record_finished("p1", router.RouteOutcome.OK, 80)
 
 
-@behave.then("p1 takes no windowed request yet")
+@behave.then("p1 accepts no windowed request yet")
 def check_closed(context):
     assert _choose(context).error.reason == router.WINDOWS_FULL
 
@@ -188,18 +188,18 @@
         context.routing_now += 0.08
 
 
-@behave.then("p1 takes windowed requests again")
+@behave.then("p1 accepts windowed requests again")
 def check_open(context):
     assert _choose(context).is_ok()
 
 
 class SteppedRunner:
-    """Hands out steps of texts to four servers; the first is the one that matters."""
+    """Sends steps of texts to four servers, of which the first refuses or is slow."""
 
     def __init__(self):
         self.now = 100.0
         self.router = router.Router(7, lambda: self.now)
-        self.given = []
+        self.first_server_counts = []
         for name in ("s0", "s1", "s2", "s3"):
             report = peers.PeerReport(
                 "z", "engines", "1", 0, 0, _SLOTS, 0, None, in_rotation=True, leaving=False
@@ -207,7 +207,7 @@
             self.router.update(name, report)
 
     def refuse(self, texts, seconds):
-        """Let the first server refuse texts at once, and trials for some time."""
+        """Let the first server refuse some texts at once, then trials for some seconds."""
         for _ in range(texts):
             self.router.record_started("s0", is_windowed=True)
         for _ in range(texts):
@@ -223,26 +223,26 @@
         for _ in range(_ANSWERS_TO_EJECT):
             for name in ("s0", "s1", "s2", "s3"):
                 self.router.record_started(name, is_windowed=True)
-                slower = _SLOWER if name == "s0" else 1
+                slower = _SLOW_FACTOR if name == "s0" else 1
                 self._end(name, router.RouteOutcome.OK, _EVENT_MS * slower)
 
-    def hand_out(self, texts):
-        """Hand out a step at once; return whom its texts were given to."""
+    def send_step(self, texts):
+        """Send the texts of a step; return the name of the server of each."""
         request = dataclasses.replace(routing_steps.build_request("any"), is_windowed=True)
-        given = []
+        chosen_names = []
         for _ in range(texts):
             chosen = self.router.choose(request)
             if chosen.is_ok():
                 self.router.record_started(chosen.ok, is_windowed=True)
-                given.append(chosen.ok)
-        self.given.append(given.count("s0"))
-        return given
+                chosen_names.append(chosen.ok)
+        self.first_server_counts.append(chosen_names.count("s0"))
+        return chosen_names
 
-    def play_step(self, texts):
-        """Hand out a step and let all of it be done."""
-        given = self.hand_out(texts)
+    def run_step(self, texts):
+        """Send a step and let all its texts end well."""
+        chosen_names = self.send_step(texts)
         self.now += _TEXT_SECONDS
-        for name in given:
+        for name in chosen_names:
             self._end(name, router.RouteOutcome.OK, _EVENT_MS)
 
     def _end(self, name, outcome, milliseconds=1):
@@ -264,50 +264,52 @@
     context.stepped.eject()
 
 
-@behave.when("a step of {texts:d} texts is handed out {pause:g} s later")
-def hand_out_later(context, texts, pause):
+@behave.when("a step of {texts:d} texts is sent {pause:g} s later")
+def send_step_later(context, texts, pause):
     context.stepped.now += pause
-    context.stepped.hand_out(texts)
+    context.stepped.send_step(texts)
 
 
 @behave.when(
-    "steps of {texts:d} texts are handed out each {gap:d} s for {seconds:d} s, and all are done at"
-    " the same speed"
+    "steps of {texts:d} texts are sent every {gap:d} s for {seconds:d} s, and all servers are "
+    "equally fast"
 )
-def hand_out_steps(context, texts, gap, seconds):
+def send_steps(context, texts, gap, seconds):
     for _ in range(seconds // gap):
-        context.stepped.play_step(texts)
+        context.stepped.run_step(texts)
         context.stepped.now += gap - _TEXT_SECONDS
 
 
-@behave.then("that server is given {least:d} to {most:d} of them")
-@behave.then("that server is given {least:d} to {most:d} of the last step's")
-def check_given(context, least, most):
-    assert least <= context.stepped.given[-1] <= most, context.stepped.given
+@behave.then("that server gets {least:d} to {most:d} of them")
+@behave.then("that server gets {least:d} to {most:d} texts of the last step")
+def check_last_step(context, least, most):
+    assert least <= context.stepped.first_server_counts[-1] <= most, (
+        context.stepped.first_server_counts
+    )
 
 
-@behave.then("it was given {most:d} at most in the first")
-def check_first_given(context, most):
-    assert context.stepped.given[0] <= most, context.stepped.given
+@behave.then("it got at most {most:d} texts of the first step")
+def check_first_step(context, most):
+    assert context.stepped.first_server_counts[0] <= most, context.stepped.first_server_counts
 
 
-def _list_spare(context):
-    """Return the peers with a spare place, found by giving each a queued request in turn."""
+def _list_free_peers(context):
+    """Return the peers with a free slot, found by adding a pending stream to each in turn."""
     request = dataclasses.replace(routing_steps.build_request("any"), is_windowed=True)
     found = []
-    while (spare := context.router.find_free_peer(request)) is not None:
-        found.append(spare.name)
-        context.router.add_pending_stream(spare.name)
+    while (free := context.router.find_free_peer(request)) is not None:
+        found.append(free.name)
+        context.router.add_pending_stream(free.name)
     for name in found:
         context.router.remove_pending_stream(name)
     return sorted(found)
 
 
-@behave.then("only {name} has a spare place")
-def check_only_spare(context, name):
-    assert _list_spare(context) == [name], _list_spare(context)
+@behave.then("only {name} has a free slot to offer")
+def check_only_free(context, name):
+    assert _list_free_peers(context) == [name], _list_free_peers(context)
 
 
-@behave.then("p1 and p2 have spare places")
-def check_all_spare(context):
-    assert _list_spare(context) == ["p1", "p2"], _list_spare(context)
+@behave.then("p1 and p2 have free slots to offer")
+def check_all_free(context):
+    assert _list_free_peers(context) == ["p1", "p2"], _list_free_peers(context)
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for routing and retries; time is simulated, seeds are fixed."""
+"""Steps for routing and retries, with simulated time and fixed seeds."""
 
 import collections
 import dataclasses
@@ -73,7 +73,7 @@
     context.results = [context.router.choose(request) for _ in range(count)]
 
 
-@behave.when("routing hears again from {text}")
+@behave.when("routing gets new reports from {text}")
 def report_again(context, text):
     _report(context.router, text)
 
@@ -83,7 +83,7 @@
     context.router.remove(name)
 
 
-@behave.when("routing is told that the host list has {names} as leaving")
+@behave.when("the host list that routing reads marks {names} as leaving")
 def list_leaving(context, names):
     context.router.set_listed_leaving(frozenset(names.replace("nobody", "").split()))
 
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the subset of hosts that an entry links to."""
+"""Steps for the subset of hosts that an entry connects to."""
 
 import collections
 
--- a/features/text_queues.feature
+++ b/features/text_queues.feature
@@ -1,12 +1,12 @@
-Feature: Texts of several trainers at engines that they share
-  Simulated time. Three runners hand out a step each at the same moment, the longest guess first; an engine runs 6 texts at once and
-  queues 18 more. A few texts in a hundred run for seconds, the guesses of their length are often far off.
+Feature: Texts of several trainers at shared engines
+  Simulated time. Three runners send a step each at the same time, the longest predicted text first. An engine runs 6 texts at once and
+  queues 18 more. A few texts in a hundred run for seconds; the predicted lengths are often far off.
 
-  Scenario Outline: No engine stands idle while texts wait at another one
+  Scenario Outline: No engine is idle while texts wait at another one
     # Guards against texts that wait in the queues of full engines while others have free slots.
     Given <engines> engines, of which <loading> load weights for the first <seconds> s
-    When 3 runners hand out steps of <texts> texts each
-    Then all are whole 0.1 s later at most than from one queue before all engines
+    When 3 runners send steps of <texts> texts each
+    Then all steps are complete at most 0.1 s later than with one queue for all engines
 
     Examples:
       | engines | loading | seconds | texts |
@@ -18,10 +18,10 @@
       | 150     | 50      | 0.9     | 700   |
 
   Scenario Outline: The longest texts run at the fastest engines
-    # Guards against steps that end late since their longest text runs at a slow engine.
-    Given <engines> engines, of which <slow> are <slower> times slower, and guesses that hold
-    When 3 runners hand out steps of <texts> texts each, once they know the engines
-    Then all are whole 0.5 s later at most than if each went where it ends first
+    # Guards against steps that end late because their longest text runs at a slow engine.
+    Given <engines> engines, of which <slow> are <slower> times slower, and exact predictions
+    When 3 runners send steps of <texts> texts each, after a step that showed the engines' speeds
+    Then all steps are complete at most 0.5 s later than if each text ran where it ends first
 
     Examples:
       | engines | slow | slower | texts |
