--- a/libs/admission/oleander_admission/admission.py
+++ b/libs/admission/oleander_admission/admission.py
@@ -8,22 +8,22 @@
 
 import expression
 
-from oleander_admission import classes, estimator, work
+from oleander_admission import estimator, priority_classes, work
 from oleander_base import clock, invariants
 from oleander_contracts import contract
 
 _PREEMPTIBLE = frozenset({contract.Priority.SAMPLING, contract.Priority.BACKGROUND})
-_LEAST_RUNNING = 2
+_MIN_RUNNING = 2
 """What runs tells of the backend server only from so many on."""
-_LEAST_RETRY_MS = 50
-_MOST_RETRY_MS = 60_000
+_MIN_RETRY_AFTER_MS = 50
+_MAX_RETRY_AFTER_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
-class _Running:
+class _RunningWork:
     """Work that was handed out."""
 
-    turn: classes.Turn
+    selected: priority_classes.Selection
     started_at: float
 
 
@@ -41,32 +41,32 @@
     def __init__(
         self,
         slots: int,
-        most_waiting: int,
+        max_waiting: int,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
         jitter: random.Random | None = None,
     ) -> None:
         self._slots = slots
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
         self._read_now = read_now
         self._jitter = jitter if jitter is not None else random.Random()
-        self._changed = threading.Condition()
-        self._waiting = classes.WaitingWork()
-        self._running: dict[str, _Running] = {}
+        self._condition = threading.Condition()
+        self._waiting = priority_classes.WaitingWork()
+        self._running: dict[str, _RunningWork] = {}
         """In the order in which it was taken."""
-        self._dropped: list[work.Dropped] = []
+        self._dropped: list[work.DroppedWork] = []
         self._estimator = estimator.ServiceEstimator()
         self._is_leaving = False
 
     @property
     def queued(self) -> int:
         """How much work waits."""
-        with self._changed:
+        with self._condition:
             return len(self._waiting)
 
     @property
     def running(self) -> int:
         """How much work was taken and not finished."""
-        with self._changed:
+        with self._condition:
             return len(self._running)
 
     def submit(self, item: work.Work) -> expression.Result[None, work.Refusal]:
@@ -77,7 +77,7 @@
         even by an idle queue, so a caller without measurements should predict low.
         A `work_id` that waits or runs already is a fault of the program and raises.
         """
-        with self._changed:
+        with self._condition:
             now = self._read_now()
             is_known = item.work_id in self._running or item.work_id in self._waiting
             invariants.require(not is_known, "work-submitted-once", item.work_id)
@@ -91,13 +91,13 @@
             if not self._make_room(item, now):
                 return expression.Error(self._refuse(work.QUEUE_FULL, wait_ms))
             self._waiting.add(item)
-            self._changed.notify()
+            self._condition.notify()
             return expression.Ok(None)
 
     def take(self, seconds: float) -> work.Work | None:
         """Wait for a free slot and work to run in it; return nothing after so long."""
         deadline = clock.start_deadline(seconds)
-        with self._changed:
+        with self._condition:
             while True:
                 item = self._start_next(self._read_now())
                 if item is not None:
@@ -105,11 +105,11 @@
                 remaining = deadline.remaining
                 if remaining <= 0.0:
                     return None
-                self._changed.wait(remaining)
+                self._condition.wait(remaining)
 
-    def take_dropped(self) -> list[work.Dropped]:
+    def take_dropped(self) -> list[work.DroppedWork]:
         """Return accepted work that will not run after all; ask often, its callers wait."""
-        with self._changed:
+        with self._condition:
             self._drop_expired(self._read_now())
             dropped = self._dropped
             self._dropped = []
@@ -122,19 +122,19 @@
         Work that was cancelled or preempted is not `completed`: its time says nothing of how long
         such work takes. An id that does not run is ignored, so finishing twice does no harm.
         """
-        with self._changed:
+        with self._condition:
             running = self._running.pop(work_id, None)
             if running is None:
                 return
-            cost_ms = running.turn.work.cost_ms
-            self._waiting.correct(running.turn.work, service_ms - cost_ms)
+            cost_ms = running.selected.work.cost_ms
+            self._waiting.adjust_charge(running.selected.work, service_ms - cost_ms)
             if completed:
-                self._estimator.observe(cost_ms, service_ms, self._read_now())
-            self._changed.notify()
+                self._estimator.record_service(cost_ms, service_ms, self._read_now())
+            self._condition.notify()
 
     def cancel(self, work_id: str) -> bool:
         """Forget work that still waits; return whether it did."""
-        with self._changed:
+        with self._condition:
             return self._waiting.remove(work_id)
 
     def find_preemptible(self, priority: int) -> str | None:
@@ -144,15 +144,15 @@
         Work that runs by its class's floor is left alone: were it given up whenever more urgent
         work waits, the floor would never let anything end.
         """
-        with self._changed:
+        with self._condition:
             if len(self._running) < self._slots:
                 return None
             victim: work.Work | None = None
             for running in self._running.values():
-                item = running.turn.work
-                if running.turn.by_floor or item.priority <= priority:
+                item = running.selected.work
+                if running.selected.by_min_share or item.priority <= priority:
                     continue
-                if classes.find_class(item.priority) not in _PREEMPTIBLE:
+                if priority_classes.find_priority_class(item.priority) not in _PREEMPTIBLE:
                     continue
                 if victim is None or item.priority >= victim.priority:
                     victim = item
@@ -160,18 +160,20 @@
 
     def estimate_wait_ms(self, priority: int) -> int:
         """Return how long new work would wait behind all of its own and of more urgent classes."""
-        with self._changed:
-            ahead_ms = self._waiting.estimate_class_ahead_ms(classes.find_class(priority))
+        with self._condition:
+            ahead_ms = self._waiting.estimate_class_ahead_ms(
+                priority_classes.find_priority_class(priority)
+            )
             return int(self._estimate_start_ms(ahead_ms, self._read_now()))
 
     def close(self) -> None:
         """Refuse new work from now on; what waits and what runs goes on."""
-        with self._changed:
+        with self._condition:
             self._is_leaving = True
 
     def drop_waiting(self) -> None:
         """Drop all that waits as `LEAVING`; what runs goes on."""
-        with self._changed:
+        with self._condition:
             now = self._read_now()
             for item in self._waiting.pop_all():
                 self._drop(item, work.LEAVING, now)
@@ -179,9 +181,9 @@
     def _measure_lateness_ms(self, item: work.Work, wait_ms: float, now: float) -> float:
         """Return by how much work would end after its deadline; negative if it would not."""
         budget_ms = (item.deadline.expires_at - now) * 1000
-        return wait_ms + item.cost_ms * self._read_ratio(now) - budget_ms
+        return wait_ms + item.cost_ms * self._estimate_cost_ratio(now) - budget_ms
 
-    def _read_ratio(self, now: float) -> float:
+    def _estimate_cost_ratio(self, now: float) -> float:
         """
         Return by how much to multiply a predicted service time, as seen by what runs now too.
 
@@ -189,21 +191,21 @@
         it was; meanwhile work was let in that could not end in time. Half of what runs being late
         shows it sooner; a single straggler does not count, nor the only work that runs.
         """
-        ratio = self._estimator.read_ratio(now)
-        if len(self._running) < _LEAST_RUNNING:
+        ratio = self._estimator.compute_ratio(now)
+        if len(self._running) < _MIN_RUNNING:
             return ratio
         elapsed = [
-            (now - running.started_at) * 1000 / max(1.0, running.turn.work.cost_ms)
+            (now - running.started_at) * 1000 / max(1.0, running.selected.work.cost_ms)
             for running in self._running.values()
         ]
         return max(ratio, statistics.median_low(elapsed))
 
     def _estimate_start_ms(self, ahead_ms: float, now: float) -> float:
         """Return when work gets a slot that has so much predicted service before it."""
-        ratio = self._estimator.read_ratio(now)
+        ratio = self._estimator.compute_ratio(now)
         remaining_ms = [
             estimator.estimate_remaining_ms(
-                running.turn.work.cost_ms * ratio, (now - running.started_at) * 1000
+                running.selected.work.cost_ms * ratio, (now - running.started_at) * 1000
             )
             for running in self._running.values()
         ]
@@ -211,14 +213,14 @@
 
     def _make_room(self, newcomer: work.Work, now: float) -> bool:
         """Displace work if the queue is full; return whether there is a place."""
-        if len(self._dropped) >= self._most_waiting:
+        if len(self._dropped) >= self._max_waiting:
             return False
-        if len(self._waiting) < self._most_waiting:
+        if len(self._waiting) < self._max_waiting:
             return True
-        displaced = self._waiting.pop_displaced(newcomer, self._most_waiting)
-        if displaced is None:
+        evicted = self._waiting.pop_evicted(newcomer, self._max_waiting)
+        if evicted is None:
             return False
-        self._drop(displaced, work.QUEUE_FULL, now)
+        self._drop(evicted, work.QUEUE_FULL, now)
         return True
 
     def _drop_expired(self, now: float) -> None:
@@ -227,22 +229,22 @@
 
     def _drop(self, item: work.Work, reason: str, now: float) -> None:
         wait_ms = self._estimate_start_ms(self._waiting.estimate_ahead_ms(item), now)
-        self._dropped.append(work.Dropped(item, self._refuse(reason, wait_ms)))
+        self._dropped.append(work.DroppedWork(item, self._refuse(reason, wait_ms)))
 
     def _start_next(self, now: float) -> work.Work | None:
         self._drop_expired(now)
         if len(self._running) >= self._slots:
             return None
-        while (turn := self._waiting.peek_next()) is not None:
-            if not self._is_hopeless(turn.work, now):
-                self._waiting.pop(turn)
-                self._running[turn.work.work_id] = _Running(turn, now)
-                return turn.work
-            self._waiting.remove(turn.work.work_id)
-            self._drop(turn.work, work.TOO_LATE, now)
+        while (selected := self._waiting.peek_next()) is not None:
+            if not self._would_be_late(selected.work, now):
+                self._waiting.pop(selected)
+                self._running[selected.work.work_id] = _RunningWork(selected, now)
+                return selected.work
+            self._waiting.remove(selected.work.work_id)
+            self._drop(selected.work, work.TOO_LATE, now)
         return None
 
-    def _is_hopeless(self, item: work.Work, now: float) -> bool:
+    def _would_be_late(self, item: work.Work, now: float) -> bool:
         """
         Tell whether work would be late even if it ran at once, and something else could run.
 
@@ -253,11 +255,11 @@
             return False
         return self._measure_lateness_ms(item, 0.0, now) > 0.0
 
-    def _refuse(self, reason: str, milliseconds: float) -> work.Refusal:
+    def _refuse(self, reason: str, wait_ms: float) -> work.Refusal:
         """
         Return a refusal with the time after which the same work may be let in.
 
         The jitter spreads those that were refused together over as long again as they wait.
         """
-        spread_ms = max(_LEAST_RETRY_MS, milliseconds) * (1.0 + self._jitter.random())
-        return work.Refusal(reason, int(min(_MOST_RETRY_MS, spread_ms)))
+        retry_after_ms = max(_MIN_RETRY_AFTER_MS, wait_ms) * (1.0 + self._jitter.random())
+        return work.Refusal(reason, int(min(_MAX_RETRY_AFTER_MS, retry_after_ms)))
--- a/libs/admission/oleander_admission/estimator.py
+++ b/libs/admission/oleander_admission/estimator.py
@@ -1,8 +1,8 @@
 """How long work will take, from how long work took, and when a slot will be free."""
 
-_NEWEST_WEIGHT = 0.1
-_LEAST_RATIO = 0.05
-_MOST_RATIO = 20.0
+_EWMA_WEIGHT = 0.1
+_MIN_RATIO = 0.05
+_MAX_RATIO = 20.0
 _HALF_LIFE_SECONDS = 5.0
 
 
@@ -19,14 +19,14 @@
         self._service_ms = 0.0
         self._observed_at = 0.0
 
-    def observe(self, cost_ms: float, service_ms: float, now: float) -> None:
+    def record_service(self, cost_ms: float, service_ms: float, now: float) -> None:
         """Take in one completed service."""
-        weight = _NEWEST_WEIGHT if self._cost_ms > 0.0 else 1.0
+        weight = _EWMA_WEIGHT if self._cost_ms > 0.0 else 1.0
         self._cost_ms += weight * (cost_ms - self._cost_ms)
         self._service_ms += weight * (service_ms - self._service_ms)
         self._observed_at = now
 
-    def read_ratio(self, now: float) -> float:
+    def compute_ratio(self, now: float) -> float:
         """
         Return by how much to multiply a predicted service time.
 
@@ -36,7 +36,7 @@
         """
         if self._cost_ms <= 0.0:
             return 1.0
-        ratio = min(_MOST_RATIO, max(_LEAST_RATIO, self._service_ms / self._cost_ms))
+        ratio = min(_MAX_RATIO, max(_MIN_RATIO, self._service_ms / self._cost_ms))
         if ratio <= 1.0:
             return ratio
         idle_seconds = max(0.0, now - self._observed_at)
--- a/libs/admission/oleander_admission/classes.py
+++ b/libs/admission/oleander_admission/priority_classes.py
@@ -7,23 +7,23 @@
 
 PRIORITIES = tuple(sorted(contract.Priority))
 
-_FLOOR = 0.03
+_MIN_SHARE = 0.03
 """The part of the service time that each class is sure of while more urgent work waits."""
-_RESERVED_PART = 0.05
+_RESERVED_FRACTION = 0.05
 """The part of the places that more urgent work can't take from a class."""
 
 
-def find_class(priority: int) -> contract.Priority:
+def find_priority_class(priority: int) -> contract.Priority:
     """Return the nearest priority class; a peer may send any number."""
     return contract.Priority(min(PRIORITIES[-1], max(PRIORITIES[0], priority)))
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Turn:
+class Selection:
     """The work that goes next."""
 
     work: work.Work
-    by_floor: bool
+    by_min_share: bool
     """Whether its class's floor put it ahead of more urgent work."""
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self._queues = {priority: fairness.FairQueue() for priority in PRIORITIES}
-        self._earned_ms = dict.fromkeys(PRIORITIES, 0.0)
+        self._credit_ms = dict.fromkeys(PRIORITIES, 0.0)
         self._sequence = 0
         self._next_expiry = float("inf")
         """Nothing that waits expires before this."""
@@ -54,7 +54,9 @@
     def add(self, item: work.Work) -> None:
         """Put work at the end of its customer's line in its class."""
         self._sequence += 1
-        self._queues[find_class(item.priority)].add(fairness.Entry(item, self._sequence))
+        self._queues[find_priority_class(item.priority)].add(
+            fairness.QueuedWork(item, self._sequence)
+        )
         self._next_expiry = min(self._next_expiry, item.deadline.expires_at)
 
     def remove(self, work_id: str) -> bool:
@@ -65,23 +67,23 @@
                 return True
         return False
 
-    def peek_next(self) -> Turn | None:
+    def peek_next(self) -> Selection | None:
         """Return the work that goes next, if any waits."""
         waiting = [priority for priority in PRIORITIES if self._queues[priority]]
         if not waiting:
             return None
         priority = self._choose_class(waiting)
-        return Turn(self._queues[priority].peek().work, priority != waiting[0])
+        return Selection(self._queues[priority].peek().work, priority != waiting[0])
 
-    def pop(self, turn: Turn) -> None:
+    def pop(self, selected: Selection) -> None:
         """Take out the work that `peek_next` returned, at its customer's cost."""
-        priority = find_class(turn.work.priority)
+        priority = find_priority_class(selected.work.priority)
         self._queues[priority].pop()
-        self._settle_floors(priority, turn.work.cost_ms, turn.by_floor)
+        self._update_credits(priority, selected.work.cost_ms, selected.by_min_share)
 
     def count_class(self, priority: int) -> int:
         """Return how much work of a class waits."""
-        return len(self._queues[find_class(priority)])
+        return len(self._queues[find_priority_class(priority)])
 
     def pop_expired(self, now: float) -> list[work.Work]:
         """Take out all work whose deadline has passed."""
@@ -102,22 +104,22 @@
             self.remove(item.work_id)
         return waiting
 
-    def pop_displaced(self, newcomer: work.Work, most_waiting: int) -> work.Work | None:
+    def pop_evicted(self, newcomer: work.Work, max_waiting: int) -> work.Work | None:
         """Take out the work that has to make room for a newcomer, if any has to."""
-        victim = self._find_displaceable(newcomer, int(most_waiting * _RESERVED_PART))
+        victim = self._find_evictable(newcomer, int(max_waiting * _RESERVED_FRACTION))
         if victim is None:
             return None
         self.remove(victim.work.work_id)
         return victim.work
 
-    def correct(self, item: work.Work, extra_ms: float) -> None:
+    def adjust_charge(self, item: work.Work, extra_ms: float) -> None:
         """Charge a customer what its work took beyond the predicted cost, or give it back."""
-        queue = self._queues[find_class(item.priority)]
-        queue.correct(item.customer, item.share_percent, extra_ms)
+        queue = self._queues[find_priority_class(item.priority)]
+        queue.adjust_charge(item.customer, item.share_percent, extra_ms)
 
     def estimate_ahead_ms(self, item: work.Work) -> float:
         """Return the service time of all that goes before new work."""
-        priority = find_class(item.priority)
+        priority = find_priority_class(item.priority)
         own_ms = self._queues[priority].estimate_ahead_ms(item)
         return self._estimate_ahead_ms(priority, own_ms, item.cost_ms)
 
@@ -133,34 +135,36 @@
         urgent = [self._queues[item] for item in PRIORITIES if item < priority]
         urgent_ms = sum(queue.backlog_ms for queue in urgent)
         lower = sum(1 for item in PRIORITIES if item > priority and self._queues[item])
-        ahead_ms = (urgent_ms + own_ms) / (1.0 - _FLOOR * lower)
+        ahead_ms = (urgent_ms + own_ms) / (1.0 - _MIN_SHARE * lower)
         piece_ms = urgent_ms / max(1, sum(len(queue) for queue in urgent))
-        earning_ms = max(0.0, own_ms + cost_ms - self._earned_ms[priority]) / _FLOOR
+        earning_ms = max(0.0, own_ms + cost_ms - self._credit_ms[priority]) / _MIN_SHARE
         return min(ahead_ms, own_ms + earning_ms + piece_ms)
 
     def _choose_class(self, waiting: list[contract.Priority]) -> contract.Priority:
         for priority in reversed(waiting[1:]):
-            if self._earned_ms[priority] >= self._queues[priority].peek().work.cost_ms:
+            if self._credit_ms[priority] >= self._queues[priority].peek().work.cost_ms:
                 return priority
         return waiting[0]
 
-    def _settle_floors(self, served: contract.Priority, cost_ms: float, by_floor: bool) -> None:
+    def _update_credits(
+        self, served: contract.Priority, cost_ms: float, by_min_share: bool
+    ) -> None:
         """Let waiting classes earn their part of what went before them; nobody saves."""
-        if by_floor:
-            self._earned_ms[served] -= cost_ms
+        if by_min_share:
+            self._credit_ms[served] -= cost_ms
         for priority in PRIORITIES:
             if not self._queues[priority]:
-                self._earned_ms[priority] = 0.0
+                self._credit_ms[priority] = 0.0
             elif priority > served:
-                self._earned_ms[priority] += cost_ms * _FLOOR
+                self._credit_ms[priority] += cost_ms * _MIN_SHARE
 
-    def _find_displaceable(self, newcomer: work.Work, reserved: int) -> fairness.Entry | None:
-        own_class = find_class(newcomer.priority)
+    def _find_evictable(self, newcomer: work.Work, reserved: int) -> fairness.QueuedWork | None:
+        own_class = find_priority_class(newcomer.priority)
         is_reserved = len(self._queues[own_class]) < reserved
         for priority in reversed(PRIORITIES):
             queue = self._queues[priority]
             if priority == own_class and not is_reserved:
-                return queue.find_excess(newcomer)
+                return queue.find_evictable(newcomer)
             if priority != own_class and len(queue) > reserved:
                 return queue.find_newest()
         return None
--- a/libs/admission/oleander_admission/work.py
+++ b/libs/admission/oleander_admission/work.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Dropped:
+class DroppedWork:
     """Work that was accepted, did not run, and never will."""
 
     work: Work
