--- a/libs/routing/oleander_routing/selection.py
+++ b/libs/routing/oleander_routing/selection.py
@@ -1,4 +1,4 @@
-"""Pick one of several peers by load, by rate, or by where a prompt prefix is cached."""
+"""Selection of a peer by load, stream speed or prompt prefix."""
 
 import math
 import random
@@ -6,29 +6,29 @@
 from oleander_base import identifiers
 from oleander_routing import peers
 
-_LOAD_BOUND = 1.25
-"""How far above the mean load a peer may be and still be given work for its prefixes."""
+_MAX_LOAD_RATIO = 1.25
+"""Multiple of the mean load up to which a peer is given requests for its prefixes."""
 _HASH_RANGE = 2.0**64
-_MOST_LOST_MS = 400
-"""The most by which a stream may be expected to end later than on the fastest peer."""
-_ABOUT_AS_FAST = 1.15
-"""Peers whose rates differ by a smaller factor count as equally fast: load alone changes rates."""
+_MAX_DELAY_MS = 400
+"""A peer is too slow if a stream is expected to end later there by more than this."""
+_EQUAL_INTERVAL_RATIO = 1.15
+"""Peers whose event intervals differ by less count as equally fast, as load changes them too."""
 
 
 def pick_by_load(
-    candidates: list[peers.Peer], budget_ms: int, source: random.Random
+    candidates: list[peers.Peer], budget_ms: int, random_source: random.Random
 ) -> peers.Peer:
     """
-    Return the less loaded of two random peers.
+    Return the less loaded of two random peers ("power of two choices").
 
-    The least loaded of all would be the same one for every entry until the next reports, and all
-    would send to it at once. Two random choices are nearly as even and don't herd.
+    The least loaded of all peers would be the same for every entry until the next reports, and
+    all would send to it at once. Two random choices balance nearly as well and avoid that.
     """
-    first = _pick_weighted(candidates, source)
+    first = _pick_weighted(candidates, random_source)
     others = [peer for peer in candidates if peer is not first]
     if not any(peer.weight for peer in others):
         return first
-    second = _pick_weighted(others, source)
+    second = _pick_weighted(others, random_source)
     return min(first, second, key=lambda peer: (peer.wait_ms > budget_ms, peer.load))
 
 
@@ -36,16 +36,18 @@
     candidates: list[peers.Peer], prefix: str, budget_ms: int
 ) -> peers.Peer | None:
     """
-    Return the first peer in the prefix's rank that is not overloaded, or nothing.
+    Return the first peer that is not overloaded in the prefix's ranking, or None.
 
-    Each prefix ranks the peers by a hash, so that every entry agrees and a peer that comes or goes
-    moves only its own prefixes. A popular prefix would overload its first peer; above the bound
-    it goes to the next in rank, which then has it cached too.
+    Rendezvous hashing with bounded loads: each prefix ranks the peers by a hash, so that all
+    entries agree and a peer that joins or leaves moves only its own prefixes. A popular prefix
+    would overload its first peer; above `_MAX_LOAD_RATIO` it goes to the next in the ranking,
+    which then caches it too. A peer that was just readmitted gets a fixed part of its prefixes,
+    by its weight.
     """
     slots = sum(max(1, peer.slots) for peer in candidates)
     outstanding = sum(peer.outstanding for peer in candidates) + 1
     for peer in sorted(candidates, key=lambda item: _hash_pair(item.name, prefix), reverse=True):
-        bound = math.ceil(_LOAD_BOUND * outstanding * max(1, peer.slots) / slots)
+        bound = math.ceil(_MAX_LOAD_RATIO * outstanding * max(1, peer.slots) / slots)
         if peer.outstanding >= max(bound, peer.slots) or peer.wait_ms > budget_ms:
             continue
         if _hash_pair(prefix, peer.name) < peer.weight * _HASH_RANGE:
@@ -53,39 +55,46 @@
     return None
 
 
-def narrow_by_rate(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
+def filter_by_event_interval(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
-    Return the fastest of those that seem to have a free slot, else all that are fast enough.
+    Return the fastest candidates with a free slot, else all that are fast enough.
 
-    The events are those that the stream is expected to have; 0 where that is unknown.
+    `events` is the expected number of events in the stream; 0 if unknown.
     """
     fast = _drop_slow(candidates, events)
     free = [peer for peer in fast if peer.has_free_slot]
     return _keep_fastest(free) or fast
 
 
-def _drop_slow(listed: list[peers.Peer], events: float) -> list[peers.Peer]:
+def _drop_slow(candidates: list[peers.Peer], events: float) -> list[peers.Peer]:
     """
-    Return the peers on which a stream ends little later than on the fastest; unknown ones too.
+    Return the peers where a stream ends at most `_MAX_DELAY_MS` later than on the fastest.
 
-    The longest texts decide when a step is whole. On a peer that is a third slower they end
-    seconds later, while short ones lose less there than by waiting for a faster one.
+    Peers of unknown speed are kept. The longest texts decide when a training step is complete: on
+    a peer that is a third slower they end seconds later, while short texts lose less there than
+    by waiting for a faster peer.
     """
-    fastest = min((peer.event_ms for peer in listed if peer.event_ms), default=0.0)
+    fastest = min(
+        (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
+    )
     if not events or not fastest:
-        return listed
-    most = fastest + _MOST_LOST_MS / events
-    return [peer for peer in listed if peer.event_ms <= most]
+        return candidates
+    max_interval_ms = fastest + _MAX_DELAY_MS / events
+    return [peer for peer in candidates if peer.event_interval_ms <= max_interval_ms]
 
 
-def _keep_fastest(listed: list[peers.Peer]) -> list[peers.Peer]:
-    """Return the peers that are about as fast as the fastest, and unknown ones."""
-    fastest = min((peer.event_ms for peer in listed if peer.event_ms), default=0.0)
-    return [peer for peer in listed if peer.event_ms <= fastest * _ABOUT_AS_FAST]
+def _keep_fastest(candidates: list[peers.Peer]) -> list[peers.Peer]:
+    """Return the peers that are about as fast as the fastest, and those of unknown speed."""
+    fastest = min(
+        (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
+    )
+    return [
+        peer for peer in candidates if peer.event_interval_ms <= fastest * _EQUAL_INTERVAL_RATIO
+    ]
 
 
-def _pick_weighted(candidates: list[peers.Peer], source: random.Random) -> peers.Peer:
-    return source.choices(candidates, [peer.weight for peer in candidates])[0]
+def _pick_weighted(candidates: list[peers.Peer], random_source: random.Random) -> peers.Peer:
+    return random_source.choices(candidates, [peer.weight for peer in candidates])[0]
 
 
 def _hash_pair(first: str, second: str) -> int:
