--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -45,7 +45,11 @@
         "_LEAST_MS * max(1.0, ratio)",
         "_LEAST_MS",
     ),
-    "moves": (f"{_PROGRAM}/batch_run.py", "    moves=True,", "    moves=False,"),
+    "moves": (
+        f"{_PROGRAM}/batch_run.py",
+        "    allows_migration=True,",
+        "    allows_migration=False,",
+    ),
     "kept-starts": (
         f"{_PROGRAM}/batch_runner.py",
         "_LEAST_KEPT_EVENTS = 12",
@@ -85,13 +89,13 @@
     ),
     "longest-first": (
         f"{_SAMPLES}/backlog.py",
-        "rank = (-self._lengths.predict_fresh(group), -len(waiting), group)",
+        "rank = (-self._lengths.predict_unstarted(group), -len(waiting), group)",
         "rank = (0, -len(waiting), group)",
     ),
     "guessed-lengths": (
         f"{_SAMPLES}/predictions.py",
-        "self._expected_tokens = expected_tokens or [0] * len(most_tokens)",
-        "self._expected_tokens = [0] * len(most_tokens)",
+        "self._expected_tokens = expected_tokens or [0] * len(max_tokens)",
+        "self._expected_tokens = [0] * len(max_tokens)",
     ),
     "spread-rights": (
         f"{_ORDERS}/rights.py",
--- a/bench/samples_bench.py
+++ b/bench/samples_bench.py
@@ -56,13 +56,15 @@
 def measure_stragglers() -> None:
     """Compare what is done about stragglers."""
     policies = {
-        "none": hedging.StragglerPolicy(0, moves=False),
-        "resume elsewhere (move)": hedging.StragglerPolicy(0, moves=True),
+        "none": hedging.StragglerPolicy(0, allows_migration=False),
+        "resume elsewhere (move)": hedging.StragglerPolicy(0, allows_migration=True),
     }
     for percent in (2, 5, 10):
-        policies[f"hedge {percent}%"] = hedging.StragglerPolicy(percent, moves=False)
+        policies[f"hedge {percent}%"] = hedging.StragglerPolicy(percent, allows_migration=False)
     for percent in (2, 5, 10):
-        policies[f"hedge {percent}%, then move"] = hedging.StragglerPolicy(percent, moves=True)
+        policies[f"hedge {percent}%, then move"] = hedging.StragglerPolicy(
+            percent, allows_migration=True
+        )
     for title, factor, since in (
         ("2 of 8 engines at a fifth of the speed", 0.2, 0.0),
         ("2 of 8 engines all but hang from 60 s on", 0.02, 60.0),
@@ -120,7 +122,7 @@
             work_id = generation.work.work_id
             self._entry.stop(generation)
             if self._restarts:
-                source.note_progress(work_id, "", 1, None)
+                source.record_progress(work_id, "", 1, None)
             source.fail_work(work_id)
         self._entry.dispatch()
 
--- a/bench/samples_cost.py
+++ b/bench/samples_cost.py
@@ -40,7 +40,7 @@
 
 def write_pull(numbers: range | list[int]) -> bytes:
     """Return the body of a pull."""
-    text = held.write_held(numbers)
+    text = held.format_numbers(numbers)
     body = {"incarnation": 1, "version": 7, "held": text, "wait_ms": 0, "most": 64}
     return json.dumps(body).encode()
 
@@ -60,7 +60,7 @@
     source = collector.StepCollector(step, terms, 1, lambda: Clock.now)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    total = step.total
+    total = step.sample_count
     watch = Stopwatch()
     works = [work for _ in range(total) if (work := source.next_work()) is not None]
     watch.print_each("start work", total)
@@ -68,7 +68,7 @@
     watch = Stopwatch()
     for work in works:
         for _ in range(PIECES):
-            source.note_progress(work.work_id, PIECE_TEXT, PIECE_TOKENS, 7)
+            source.record_progress(work.work_id, PIECE_TEXT, PIECE_TOKENS, 7)
     watch.print_each("take in a piece", total * PIECES)
     watch = Stopwatch()
     for work in works[LEFT:]:
@@ -94,7 +94,7 @@
     answer = source.pull(pull, 0.0).ok
     watch.print_each(f"answer a pull, {len(whole) // 2} samples waiting", 1)
     watch = Stopwatch()
-    encoded = pulls.write_answer(answer)
+    encoded = pulls.encode_answer(answer)
     watch.print_each(f"write an answer of {len(encoded.body) >> 10} KiB", 1)
 
 
--- a/bench/samples_simulation.py
+++ b/bench/samples_simulation.py
@@ -226,12 +226,12 @@
         generation.made += tokens
         self.made_tokens += tokens
         work_id = generation.work.work_id
-        self.collector.note_progress(work_id, "", tokens, generation.engine.version)
+        self.collector.record_progress(work_id, "", tokens, generation.engine.version)
         if generation.made < generation.length:
             self._schedule(generation, 0.0)
             return
         self.stop(generation)
-        self._cancel(self.collector.finish_work(work_id).losers)
+        self._cancel(self.collector.finish_work(work_id).redundant_work_ids)
         self.dispatch()
 
     def _cancel(self, work_ids: collections.abc.Iterable[str]) -> None:
--- a/features/steps/pulls_steps.py
+++ b/features/steps/pulls_steps.py
@@ -36,7 +36,7 @@
 def write_answer(context, text):
     label = (steps.LabelPart(6, 3), steps.LabelPart(7, 2))
     sample = steps.Sample(1, 0, json.loads(f'"{text}"'), label)
-    context.sample_answer = pulls.write_answer(pulls.PullAnswer(12, 7, True, (sample,)))
+    context.sample_answer = pulls.encode_answer(pulls.PullAnswer(12, 7, True, (sample,)))
 
 
 @behave.then("the sample answer's digest fits its body, and not the body without its last byte")
--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -31,7 +31,7 @@
         kind, _, rest = word.rpartition(":")
         trainer, (incarnation, _, number) = rest[0], rest[1:].partition("/")
         if kind == "heard":
-            known.note_incarnation("caroni", trainer, int(incarnation))
+            known.record_incarnation("caroni", trainer, int(incarnation))
         elif kind == "deleted":
             known.delete("caroni", trainer, int(number))
         elif kind == "silent":
@@ -42,7 +42,7 @@
         else:
             prompt = number[1:] or "p"
             step = _create_step(trainer, int(incarnation), int(number[0]), prompt)
-            answer = known.put(step, _TERMS)
+            answer = known.register(step, _TERMS)
             context.sample_answers.append(answer.ok if answer.is_ok() else answer.error)
 
 
@@ -144,7 +144,7 @@
         held = frozenset(self.held) if self.random.random() < 0.5 else None
         names = ("caroni", "a", self.step, self.incarnation, self.version)
         step = steps.Step(*names, groups, held)
-        collector = (entry or self._choose_entry()).put(step, _TERMS).ok
+        collector = (entry or self._choose_entry()).register(step, _TERMS).ok
         self.said[collector] = self.said.get(collector, frozenset()).union(held or ())
 
     def _start_work(self):
@@ -166,7 +166,7 @@
         stated = None if self.random.random() < 0.04 else version
         text = f"[{version}]" * tokens
         engine.made.append(version)
-        engine.collector.note_progress(engine.work.work_id, text, tokens, stated)
+        engine.collector.record_progress(engine.work.work_id, text, tokens, stated)
 
     def _finish(self):
         begun = [item for item in self.running if item.made or self.random.random() < 0.05]
@@ -180,13 +180,13 @@
         use = self.random.random() < 0.5
         done = engine.collector.finish_work(engine.work.work_id, assumption if use else None)
         self.seen[done.outcome.value] += 1
-        self.seen["losers"] += len(done.losers)
+        self.seen["redundant"] += len(done.redundant_work_ids)
 
     def _finish_late(self):
         """Repeat the end of work that is over, with more text."""
         if self.ended:
             engine = self.random.choice(self.ended)
-            engine.collector.note_progress(engine.work.work_id, "late", 1, self.engine_version)
+            engine.collector.record_progress(engine.work.work_id, "late", 1, self.engine_version)
             assert not engine.collector.finish_work(engine.work.work_id).is_kept
 
     def _fail(self):
@@ -291,7 +291,7 @@
 )
 def check_model(context):
     """Check that the run, which raises at a fault, was no idle one."""
-    kinds = "complete kept unknown-label not-wanted hedge losers resumed lost unknown"
+    kinds = "complete kept unknown-label not-wanted hedge redundant resumed lost unknown"
     kinds += f" {metrics.SAMPLES_STALE} {metrics.SAMPLES_REMADE}"
     missing = [kind for kind in kinds.split() if not context.sample_model.seen[kind]]
     assert not missing, (missing, context.sample_model.seen)
--- a/features/steps/sample_steps_readers_steps.py
+++ b/features/steps/sample_steps_readers_steps.py
@@ -14,7 +14,7 @@
 @behave.when('the sample set "{text}" of a step of {total:d} is read')
 @behave.when('the sample set "" of a step of {total:d} is read')
 def read_set(context, total, text=""):
-    context.sample_read = held.read_held(text, total)
+    context.sample_read = held.parse_numbers(text, total)
 
 
 @behave.then("the sample numbers are {numbers}")
@@ -25,7 +25,7 @@
 @behave.then('the sample set is written as "{text}"')
 @behave.then('the sample set is written as ""')
 def check_written(context, text=""):
-    assert held.write_held(context.sample_read.ok) == text
+    assert held.format_numbers(context.sample_read.ok) == text
 
 
 @behave.when('the trainer\'s step "{step}" is read from')
@@ -57,7 +57,7 @@
 @behave.then("the trainer's step is {step:d} with {total:d} samples and holds {numbers}")
 def check_step(context, step, total, numbers):
     read = context.sample_read.ok
-    assert (read.step, read.total, read.held) == (step, total, _read_numbers(numbers)), read
+    assert (read.step, read.sample_count, read.held) == (step, total, _read_numbers(numbers)), read
 
 
 @behave.then(
@@ -65,7 +65,7 @@
 )
 def check_unstated(context, step, total):
     read = context.sample_read.ok
-    assert (read.step, read.total, read.held) == (step, total, None), read
+    assert (read.step, read.sample_count, read.held) == (step, total, None), read
 
 
 @behave.then("the sample findings are")
--- a/features/steps/samples_steps.py
+++ b/features/steps/samples_steps.py
@@ -28,7 +28,9 @@
 
 @behave.when("the sample's engine read {before} before and {after} after, {orders} order open")
 def assume_label(context, before, after, orders):
-    context.sample_label.assume(_read_optional(before), _read_optional(after), orders == "an")
+    context.sample_label.set_assumption(
+        _read_optional(before), _read_optional(after), orders == "an"
+    )
 
 
 @behave.then("the sample's label is {label}")
@@ -45,8 +47,8 @@
 
     def __init__(self, groups, bound, held_text=None, policy=None):
         self.now = 0.0
-        total = sum(group.samples for group in groups)
-        numbers = None if held_text is None else held.read_held(held_text, total).ok
+        total = sum(group.sample_count for group in groups)
+        numbers = None if held_text is None else held.parse_numbers(held_text, total).ok
         step = steps.Step("caroni", "offers", 12, 3, 7, groups, numbers)
         terms = contract.TrainerTerms(
             "offers", "offers", "m", bound, contract.Objective.IDLE_TIME, 0
@@ -81,14 +83,14 @@
     def _tokens(self, name, *pieces):
         for index, (version, tokens) in enumerate(_read_pieces(" ".join(pieces))):
             text = f"<{name}{index}>" if tokens else ""
-            self.collector.note_progress(self._find(name), text, tokens, version)
+            self.collector.record_progress(self._find(name), text, tokens, version)
 
     def _flood(self, name, characters):
-        self.collector.note_progress(self._find(name), "x" * int(characters), 1, 7)
+        self.collector.record_progress(self._find(name), "x" * int(characters), 1, 7)
 
     def _fill(self, count):
         for name in NAMES[: int(count)]:
-            self._flood(name, collector.MOST_KEPT_CHARACTERS // int(count))
+            self._flood(name, collector.MAX_PENDING_CHARACTERS // int(count))
             self._done(name)
 
     def _done(self, name):
@@ -107,7 +109,7 @@
 
     def _pull(self, version, numbers="nothing", most="64", incarnation="3"):
         text = "" if numbers == "nothing" else numbers.replace("+", ",")
-        read = held.read_held(text, readers.MOST_SAMPLES).ok
+        read = held.parse_numbers(text, readers.MAX_SAMPLES).ok
         pull = pulls.Pull(int(incarnation), int(version), read, 0, int(most))
         self.answers.append(self.collector.pull(pull, 0.0))
 
@@ -152,7 +154,7 @@
 )
 def create_groups(context, count, samples, percent, moves=""):
     groups = tuple(steps.Group(f"p{index}", "", samples, 1000) for index in range(count))
-    policy = hedging.StragglerPolicy(percent, moves=bool(moves))
+    policy = hedging.StragglerPolicy(percent, allows_migration=bool(moves))
     context.sample_driver = SampleDriver(groups, 2, policy=policy)
 
 
@@ -189,8 +191,10 @@
 @behave.then("the sample work cancelled was {names}")
 def check_cancelled(context, names):
     driver = context.sample_driver
-    losers = [driver.find_name(item) for done in driver.finished for item in done.losers]
-    shown = " ".join(driver.cancelled + losers) or "none"
+    redundant = [
+        driver.find_name(item) for done in driver.finished for item in done.redundant_work_ids
+    ]
+    shown = " ".join(driver.cancelled + redundant) or "none"
     assert shown == names, shown
 
 
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -40,7 +40,7 @@
                 made += 1
             if now < self._whole_at:
                 continue
-            if self._scheduler.start_next(now, spare_rate=self.spare_rate) is not None:
+            if self._scheduler.start_next(now, free_slot_rate=self.spare_rate) is not None:
                 return made
         return None
 
@@ -66,7 +66,7 @@
         self._scheduler.finish(work.work_id, None, self._whole_at)
 
     def _note_piece(self, work, at):
-        self._scheduler.note_progress(work.work_id, "x", _PIECE_TOKENS, 1, at)
+        self._scheduler.record_progress(work.work_id, "x", _PIECE_TOKENS, 1, at)
 
 
 @behave.given(
--- a/libs/samples/oleander_samples/attempts.py
+++ b/libs/samples/oleander_samples/attempts.py
@@ -5,7 +5,7 @@
 from oleander_base import invariants
 from oleander_samples import work
 
-MOST_PER_SAMPLE = 2
+MAX_PER_SAMPLE = 2
 
 
 class AttemptTable:
@@ -29,7 +29,7 @@
         return iter(list(self._by_work.values()))
 
     @property
-    def numbers(self) -> int:
+    def sample_count(self) -> int:
         """How many samples are being made."""
         return len(self._by_number)
 
@@ -49,7 +49,7 @@
         """Take in an attempt that starts."""
         same = self._by_number.setdefault(attempt.work.number, [])
         invariants.require(
-            len(same) < MOST_PER_SAMPLE,
+            len(same) < MAX_PER_SAMPLE,
             "attempts-bounded",
             f"sample {attempt.work.number} has {len(same)} attempts",
         )
--- a/libs/samples/oleander_samples/backlog.py
+++ b/libs/samples/oleander_samples/backlog.py
@@ -21,13 +21,13 @@
         self._lengths = lengths
         self._waiting = set(range(len(group_of)))
         self._retries: list[tuple[float, int]] = []
-        self._fresh: dict[int, list[int]] = {}
+        self._unstarted: dict[int, list[int]] = {}
         for number in reversed(range(len(group_of))):
-            self._fresh.setdefault(group_of[number], []).append(number)
+            self._unstarted.setdefault(group_of[number], []).append(number)
         self._ranks: dict[int, _Rank] = {}
-        self._order: list[_Rank] = []
-        for group in self._fresh:
-            self.rank_group(group)
+        self._group_heap: list[_Rank] = []
+        for group in self._unstarted:
+            self.update_rank(group)
 
     def __len__(self) -> int:
         """Return how many wait, for now or for later."""
@@ -50,23 +50,23 @@
         """Return the next sample to start and take it out."""
         number = self._pop_retry(now)
         if number is None:
-            number = self._pop_fresh()
+            number = self._pop_unstarted()
         if number is not None:
             self._waiting.discard(number)
         return number
 
-    def rank_group(self, group: int) -> None:
+    def update_rank(self, group: int) -> None:
         """Put a group in its place after its prediction changed or a member started."""
-        waiting = self._fresh[group]
+        waiting = self._unstarted[group]
         while waiting and waiting[-1] not in self._waiting:
             waiting.pop()
         if not waiting:
             self._ranks.pop(group, None)
             return
-        rank = (-self._lengths.predict_fresh(group), -len(waiting), group)
+        rank = (-self._lengths.predict_unstarted(group), -len(waiting), group)
         if self._ranks.get(group) != rank:
             self._ranks[group] = rank
-            heapq.heappush(self._order, rank)
+            heapq.heappush(self._group_heap, rank)
 
     def _pop_retry(self, now: float) -> int | None:
         while self._retries and self._retries[0][0] <= now:
@@ -75,23 +75,23 @@
                 return number
         return None
 
-    def _pop_fresh(self) -> int | None:
-        while self._order:
-            rank = heapq.heappop(self._order)
+    def _pop_unstarted(self) -> int | None:
+        while self._group_heap:
+            rank = heapq.heappop(self._group_heap)
             group = rank[-1]
             if self._ranks.get(group) != rank:
                 continue
             del self._ranks[group]
-            number = self._take_member(group)
+            number = self._pop_member(group)
             if number is not None:
                 return number
         return None
 
-    def _take_member(self, group: int) -> int | None:
-        waiting = self._fresh[group]
+    def _pop_member(self, group: int) -> int | None:
+        waiting = self._unstarted[group]
         while waiting:
             number = waiting.pop()
             if number in self._waiting:
-                self.rank_group(group)
+                self.update_rank(group)
                 return number
         return None
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -12,11 +12,11 @@
 SampleWork = work.SampleWork
 FinishedWork = work.FinishedWork
 
-MOST_KEPT_CHARACTERS = 16 * 1024 * 1024
+MAX_PENDING_CHARACTERS = 16 * 1024 * 1024
 """While so much text waits for the trainer, nothing is started."""
-PAUSE_SECONDS = 120.0
+MAX_SILENCE_SECONDS = 120.0
 """Once a trainer has pulled, a silence of so long stops new work until it is heard again."""
-ABANDONED_SECONDS = 1800.0
+ABANDONED_AFTER_SECONDS = 1800.0
 """The same for a trainer that has not pulled yet; a step may be forgotten after it."""
 
 
@@ -29,7 +29,7 @@
     statement is the only truth about what was delivered; a sample stays here until then.
     A trainer that pulls no more may have gone to another entry, which makes the same samples:
     new work stops while it is silent.
-    All state is bounded by the samples of the step and by `MOST_KEPT_CHARACTERS`.
+    All state is bounded by the samples of the step and by `MAX_PENDING_CHARACTERS`.
     """
 
     def __init__(
@@ -42,21 +42,23 @@
     ) -> None:
         self._step = step
         self._digest = step.digest
-        self._total = step.total
+        self._total = step.sample_count
         self._staleness_bound = terms.staleness_bound
         self._read_now = read_now
         self._changed = threading.Condition()
         policy = policy or hedging.StragglerPolicy(terms.hedge_percent)
-        restart_percent = (
-            scheduler.RESTART_PERCENT if terms.objective is contract.Objective.STALENESS else 0
+        max_discarded_percent = (
+            scheduler.MAX_DISCARDED_PERCENT
+            if terms.objective is contract.Objective.STALENESS
+            else 0
         )
-        self._scheduler = scheduler.WorkScheduler(step, policy, random_seed, restart_percent)
-        self._inventory = inventory.Inventory(step.total)
+        self._scheduler = scheduler.WorkScheduler(step, policy, random_seed, max_discarded_percent)
+        self._inventory = inventory.Inventory(step.sample_count)
         self._version = 0
-        self._heard_at = read_now()
+        self._last_contact_at = read_now()
         self._is_started = False
         self._is_closed = False
-        self._latest_pull = 0
+        self._latest_pull_number = 0
         self._raise_version(step.version)
         if step.held is not None:
             self._set_held(step.held)
@@ -72,17 +74,17 @@
         return self._digest
 
     @property
-    def wanted_in_flight(self) -> int:
+    def wanted_attempts(self) -> int:
         """How many attempts make sense now: those that run and those that could start."""
         with self._changed:
-            waiting = self._scheduler.waiting if self._may_start() else 0
+            waiting = self._scheduler.waiting if self._can_start() else 0
             return self._scheduler.in_flight + waiting
 
     @property
     def is_complete(self) -> bool:
         """Whether every sample is whole: held, or waiting to be pulled."""
         with self._changed:
-            return self._inventory.whole == self._total
+            return self._inventory.finished_count == self._total
 
     @property
     def is_closed(self) -> bool:
@@ -94,7 +96,7 @@
     def is_abandoned(self) -> bool:
         """Whether the trainer was silent for so long that the step may be forgotten."""
         with self._changed:
-            return self._measure_silence() > ABANDONED_SECONDS
+            return self._measure_silence() > ABANDONED_AFTER_SECONDS
 
     @property
     def hedge_tokens(self) -> int:
@@ -110,22 +112,22 @@
         straggler itself to be moved, whose old attempt is then among the cancellations.
         """
         with self._changed:
-            if not self._may_start():
+            if not self._can_start():
                 return None
             started = self._scheduler.start_next(self._read_now())
             if started is not None:
                 invariants.require(
-                    not self._inventory.has(started.number),
+                    not self._inventory.is_finished(started.number),
                     "work-is-missing",
                     f"sample {started.number} is there already",
                 )
-            self._require_balance()
+            self._check_sample_counts()
             return started
 
-    def note_progress(self, work_id: str, text: str, tokens: int, version: int | None) -> None:
+    def record_progress(self, work_id: str, text: str, tokens: int, version: int | None) -> None:
         """Take in a piece of a stream; pieces of work that is not wanted are dropped."""
         with self._changed:
-            self._scheduler.note_progress(work_id, text, tokens, version, self._read_now())
+            self._scheduler.record_progress(work_id, text, tokens, version, self._read_now())
 
     def finish_work(
         self, work_id: str, assumption: labels.Assumption | None = None
@@ -135,30 +137,30 @@
             sample = self._scheduler.finish(work_id, assumption, self._read_now())
             if sample.is_error():
                 return work.FinishedWork(sample.error)
-            losers = self._scheduler.drop(sample.ok.number)
-            self._inventory.keep(sample.ok)
-            self._require_balance()
+            redundant = self._scheduler.stop_sample(sample.ok.number)
+            self._inventory.add(sample.ok)
+            self._check_sample_counts()
             self._changed.notify_all()
-            return work.FinishedWork(work.Outcome.KEPT, losers)
+            return work.FinishedWork(work.Outcome.KEPT, redundant)
 
     def fail_work(self, work_id: str) -> None:
         """Take in that work broke off; it is resumed elsewhere where that is possible."""
         with self._changed:
             self._scheduler.fail(work_id, self._read_now())
-            self._require_balance()
+            self._check_sample_counts()
 
-    def note_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
+    def record_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
         """Take in what the trainer said when it registered the step; work may start now."""
         with self._changed:
             if self._is_closed:
                 return
-            self._note_heard(version)
+            self._record_contact(version)
             self._set_held(self._inventory.held.union(numbers))
 
-    def note_version(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Take in the policy version of the trainer, which was just heard."""
         with self._changed:
-            self._note_heard(version)
+            self._record_contact(version)
 
     def take_cancellations(self) -> list[str]:
         """Return work that is of no more use, each once; cancel it at its engines."""
@@ -187,18 +189,18 @@
             refusal = self._check_pull(pull)
             if refusal is not None:
                 return expression.Error(refusal)
-            self._latest_pull += 1
-            turn = self._latest_pull
-            self._note_heard(pull.version)
+            self._latest_pull_number += 1
+            pull_number = self._latest_pull_number
+            self._record_contact(pull.version)
             self._set_held(pull.held)
             self._changed.notify_all()
             while True:
-                refused = self._check_turn(turn)
+                refused = self._check_latest_pull(pull_number)
                 if refused is not None:
                     return expression.Error(pulls.PullRefusal(refused))
                 answer = self._build_answer(pull)
                 if answer.samples or answer.complete or deadline.is_past:
-                    fresh = self._inventory.note_offered(answer)
+                    fresh = self._inventory.record_offered(answer)
                     steps.count_samples(self._step, metrics.SAMPLES_DELIVERED, fresh)
                     return expression.Ok(answer)
                 self._changed.wait(deadline.remaining)
@@ -216,16 +218,16 @@
             return pulls.PullRefusal(pulls.RefusalReason.BAD_HELD, findings.Findings((finding,)))
         return None
 
-    def _check_turn(self, turn: int) -> pulls.RefusalReason | None:
+    def _check_latest_pull(self, pull_number: int) -> pulls.RefusalReason | None:
         if self._is_closed:
             return pulls.RefusalReason.STEP_UNKNOWN
-        if turn != self._latest_pull:
+        if pull_number != self._latest_pull_number:
             return pulls.RefusalReason.SUPERSEDED
         return None
 
     def _build_answer(self, pull: pulls.Pull) -> pulls.PullAnswer:
-        samples = self._inventory.choose(pull.most)
-        oldest_version = self._find_oldest_allowed()
+        samples = self._inventory.choose_pending(pull.max_samples)
+        oldest_version = self._find_oldest_allowed_version()
         for sample in samples:
             invariants.require(
                 sample.number not in pull.held,
@@ -240,22 +242,22 @@
         complete = len(pull.held) + len(samples) == self._total
         return pulls.PullAnswer(self._step.step, self._version, complete, samples)
 
-    def _may_start(self) -> bool:
+    def _can_start(self) -> bool:
         if not self._is_started or self._is_closed:
             return False
-        patience = PAUSE_SECONDS if self._latest_pull else ABANDONED_SECONDS
+        patience = MAX_SILENCE_SECONDS if self._latest_pull_number else ABANDONED_AFTER_SECONDS
         if self._measure_silence() > patience:
             return False
-        return self._inventory.kept_characters < MOST_KEPT_CHARACTERS
+        return self._inventory.pending_characters < MAX_PENDING_CHARACTERS
 
     def _measure_silence(self) -> float:
-        return self._read_now() - self._heard_at
+        return self._read_now() - self._last_contact_at
 
-    def _note_heard(self, version: int) -> None:
-        self._heard_at = self._read_now()
+    def _record_contact(self, version: int) -> None:
+        self._last_contact_at = self._read_now()
         self._raise_version(version)
 
-    def _find_oldest_allowed(self) -> int:
+    def _find_oldest_allowed_version(self) -> int:
         return max(0, self._version - self._staleness_bound)
 
     def _raise_version(self, version: int) -> None:
@@ -264,28 +266,28 @@
             return
         self._version = version
         now = self._read_now()
-        oldest_version = self._find_oldest_allowed()
-        self._scheduler.raise_oldest(oldest_version, now)
+        oldest_version = self._find_oldest_allowed_version()
+        self._scheduler.raise_oldest_version(oldest_version, now)
         for number in self._inventory.drop_stale(oldest_version):
             steps.count_samples(self._step, metrics.SAMPLES_STALE)
             steps.count_samples(self._step, metrics.SAMPLES_REMADE)
-            self._scheduler.restore(number, now)
+            self._scheduler.restart_sample(number, now)
 
     def _set_held(self, numbers: frozenset[int]) -> None:
         """Take the trainer's word: stop making what it has, make again what it lost."""
         self._is_started = True
-        added, gone = self._inventory.set_held(numbers)
+        added, gone = self._inventory.update_held(numbers)
         for number in added:
-            self._scheduler.cancel(self._scheduler.drop(number))
+            self._scheduler.cancel(self._scheduler.stop_sample(number))
         for number in gone:
-            self._scheduler.restore(number, self._read_now())
-        self._require_balance()
+            self._scheduler.restart_sample(number, self._read_now())
+        self._check_sample_counts()
 
-    def _require_balance(self) -> None:
+    def _check_sample_counts(self) -> None:
         """Check that each sample is in one place: there, being made, or waiting."""
         if self._is_closed:
             return
-        places = (self._inventory.whole, self._scheduler.running, self._scheduler.waiting)
+        places = (self._inventory.finished_count, self._scheduler.running, self._scheduler.waiting)
         invariants.require(
             sum(places) == self._total, "sample-in-one-place", f"{places} of {self._total}"
         )
--- a/libs/samples/oleander_samples/fields.py
+++ b/libs/samples/oleander_samples/fields.py
@@ -7,9 +7,9 @@
 
 from oleander_base import findings
 
-MOST_WHOLE_NUMBER = 2**53 - 1
+MAX_SAFE_INTEGER = 2**53 - 1
 """The largest whole number that every JSON library keeps exactly."""
-MOST_FINDINGS = 100
+MAX_FINDINGS = 100
 
 
 class FindingList:
@@ -25,7 +25,7 @@
 
     def add(self, place: str, problem: str, fix: str = "") -> None:
         """Add a fault."""
-        if len(self._items) < MOST_FINDINGS:
+        if len(self._items) < MAX_FINDINGS:
             self._items.append(findings.Finding(place, problem, fix))
 
     def extend(self, found: findings.Findings) -> None:
@@ -46,44 +46,44 @@
         self._place = place
         self._found = found
 
-    def has(self, name: str) -> bool:
+    def has_field(self, name: str) -> bool:
         """Tell whether the field is there."""
         return name in self._content
 
-    def read_whole(self, name: str, least: int, most: int = MOST_WHOLE_NUMBER) -> int:
+    def read_integer(self, name: str, minimum: int, maximum: int = MAX_SAFE_INTEGER) -> int:
         """Return a whole number between two bounds."""
         value = self._content.get(name)
         if type(value) is not int:
-            self._reject(name, "is no whole number", f"give one from {least} to {most}")
-            return least
-        if not least <= value <= most:
-            self._reject(name, f"is not from {least} to {most}")
-            return least
+            self._reject(name, "is no whole number", f"give one from {minimum} to {maximum}")
+            return minimum
+        if not minimum <= value <= maximum:
+            self._reject(name, f"is not from {minimum} to {maximum}")
+            return minimum
         return value
 
-    def read_text(self, name: str, most_bytes: int) -> str:
+    def read_string(self, name: str, max_bytes: int) -> str:
         """Return a text that can be written as UTF-8 in so many bytes."""
         value = self._content.get(name)
         if not isinstance(value, str):
             self._reject(name, "is no text")
             return ""
-        size = _measure_text(value)
+        size = _measure_utf8_bytes(value)
         if size is None:
             self._reject(name, "holds half of a surrogate pair", "send whole characters")
             return ""
-        if size > most_bytes:
-            self._reject(name, f"has {size} bytes, more than {most_bytes}")
+        if size > max_bytes:
+            self._reject(name, f"has {size} bytes, more than {max_bytes}")
             return ""
         return value
 
-    def read_objects(self, name: str, most: int) -> "list[FieldReader]":
+    def read_objects(self, name: str, max_entries: int) -> "list[FieldReader]":
         """Return readers for a list of objects, at least one; other entries are left out."""
         value = self._content.get(name)
         if not isinstance(value, list) or not value:
             self._reject(name, "is no list with an entry")
             return []
-        if len(value) > most:
-            self._reject(name, f"has {len(value)} entries, more than {most}")
+        if len(value) > max_entries:
+            self._reject(name, f"has {len(value)} entries, more than {max_entries}")
             return []
         readers = [self._read_entry(item, f"{name}[{at}]") for at, item in enumerate(value)]
         return [reader for reader in readers if reader is not None]
@@ -100,11 +100,11 @@
 
 
 def parse_object(
-    body: bytes, most_bytes: int
+    body: bytes, max_bytes: int
 ) -> expression.Result[dict[str, typing.Any], findings.Findings]:
     """Return the JSON object that a body holds."""
-    if len(body) > most_bytes:
-        return _reject_body(f"has {len(body)} bytes, more than {most_bytes}")
+    if len(body) > max_bytes:
+        return _reject_body(f"has {len(body)} bytes, more than {max_bytes}")
     try:
         content = json.loads(body.decode("utf-8"))
     except (ValueError, RecursionError) as error:
@@ -120,7 +120,7 @@
     return expression.Error(findings.Findings((findings.Finding("body", problem),)))
 
 
-def _measure_text(text: str) -> int | None:
+def _measure_utf8_bytes(text: str) -> int | None:
     try:
         return len(text.encode("utf-8"))
     except UnicodeEncodeError:
--- a/libs/samples/oleander_samples/held.py
+++ b/libs/samples/oleander_samples/held.py
@@ -9,10 +9,10 @@
 
 _PLACE = "held"
 _PART = re.compile(r"(\d{1,9})(?:-(\d{1,9}))?", re.ASCII)
-_MOST_QUOTED = 40
+_MAX_QUOTED_CHARACTERS = 40
 
 
-def read_held(text: str, total: int) -> expression.Result[frozenset[int], findings.Findings]:
+def parse_numbers(text: str, total: int) -> expression.Result[frozenset[int], findings.Findings]:
     """
     Return the numbers that a text names.
 
@@ -35,7 +35,7 @@
     return expression.Ok(frozenset(numbers))
 
 
-def write_held(numbers: collections.abc.Iterable[int]) -> str:
+def format_numbers(numbers: collections.abc.Iterable[int]) -> str:
     """Return the compact text of a set of numbers."""
     parts: list[list[int]] = []
     for number in sorted(numbers):
@@ -49,5 +49,5 @@
 def _reject(
     part: str, problem: str, fix: str
 ) -> expression.Result[frozenset[int], findings.Findings]:
-    finding = findings.Finding(_PLACE, f"{part[:_MOST_QUOTED]!r} {problem}", fix)
+    finding = findings.Finding(_PLACE, f"{part[:_MAX_QUOTED_CHARACTERS]!r} {problem}", fix)
     return expression.Error(findings.Findings((finding,)))
--- a/libs/samples/oleander_samples/labels.py
+++ b/libs/samples/oleander_samples/labels.py
@@ -8,7 +8,7 @@
 
 from oleander_samples import steps
 
-_NOTHING_UNSTATED = -1
+_NO_UNSTATED_VERSION = -1
 
 
 class LabelFault(enum.Enum):
@@ -38,7 +38,7 @@
 
     before: int | None
     after: int | None
-    order_open: bool
+    has_pending_order: bool
     """Whether an order to change weights may have been under way in between."""
 
 
@@ -54,7 +54,7 @@
         self._resumed = resumed
         self._pieces: list[tuple[int | None, int]] = []
         self._assumption: Assumption | None = None
-        self._is_nonsense = False
+        self._is_invalid = False
 
     @property
     def oldest_version(self) -> int | None:
@@ -74,7 +74,7 @@
     def add(self, version: int | None, tokens: int) -> None:
         """Add tokens; neighbours of one version become one piece."""
         if tokens < 0 or (version is not None and version < 0):
-            self._is_nonsense = True
+            self._is_invalid = True
             return
         if tokens == 0:
             return
@@ -82,33 +82,35 @@
             tokens += self._pieces.pop()[1]
         self._pieces.append((version, tokens))
 
-    def assume(self, before: int | None, after: int | None, order_open: bool) -> None:
+    def set_assumption(
+        self, before: int | None, after: int | None, has_pending_order: bool
+    ) -> None:
         """State what was read from the engine before and after this generation."""
-        self._assumption = Assumption(before, after, order_open)
+        self._assumption = Assumption(before, after, has_pending_order)
 
     def build(self) -> expression.Result[tuple[steps.LabelPart, ...], LabelError]:
         """Return the label, or why it can't be known; it is never guessed."""
-        if self._is_nonsense:
+        if self._is_invalid:
             return _reject(LabelFault.CONTRADICTION, "negative tokens or version")
-        settled = self._settle_unstated()
+        settled = self._resolve_unstated()
         if settled.is_error():
             return expression.Error(settled.error)
         parts = list(self._resumed)
         for version, tokens in self._pieces:
-            _append_part(parts, settled.ok if version is None else version, tokens)
+            _append_merged(parts, settled.ok if version is None else version, tokens)
         if not parts:
             return _reject(LabelFault.EMPTY, "no tokens were stated")
         return expression.Ok(tuple(parts))
 
-    def _settle_unstated(self) -> expression.Result[int, LabelError]:
+    def _resolve_unstated(self) -> expression.Result[int, LabelError]:
         """Return the one version that can have made the unstated pieces."""
         versions = {version for version, _ in self._pieces}
         if None not in versions:
-            return expression.Ok(_NOTHING_UNSTATED)
+            return expression.Ok(_NO_UNSTATED_VERSION)
         assumption = self._assumption
         if assumption is None or assumption.before is None or assumption.after is None:
             return _reject(LabelFault.UNSTATED, "tokens without a stated version")
-        if assumption.order_open or assumption.before != assumption.after:
+        if assumption.has_pending_order or assumption.before != assumption.after:
             return _reject(LabelFault.UNSETTLED, str(assumption))
         stated = versions - {None, assumption.before}
         if stated:
@@ -117,7 +119,7 @@
         return expression.Ok(assumption.before)
 
 
-def _append_part(parts: list[steps.LabelPart], version: int, tokens: int) -> None:
+def _append_merged(parts: list[steps.LabelPart], version: int, tokens: int) -> None:
     if parts and parts[-1].version == version:
         tokens += parts.pop().tokens
     parts.append(steps.LabelPart(version, tokens))
--- a/libs/samples/oleander_samples/predictions.py
+++ b/libs/samples/oleander_samples/predictions.py
@@ -3,20 +3,20 @@
 import bisect
 import collections
 
-_MOST_OF_STEP = 512
-_MOST_OF_GROUP = 32
-_MOST_RATES = 256
+_MAX_STEP_LENGTHS = 512
+_MAX_GROUP_LENGTHS = 32
+_MAX_RATES = 256
 _STEP_WEIGHT = 4
 """The step's lengths count as much as so many finished samples of the group."""
-_GROWTH = 2
+_UNSEEN_LENGTH_FACTOR = 2
 """A sample longer than all seen is taken to reach this times its present length."""
 
 
-class RunningQuantile:
+class SlidingWindow:
     """The latest values, sorted; beyond the bound the oldest is forgotten."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._recent: collections.deque[float] = collections.deque()
         self._sorted: list[float] = []
 
@@ -27,7 +27,7 @@
 
     def add(self, value: float) -> None:
         """Take in a value."""
-        if len(self._recent) >= self._most:
+        if len(self._recent) >= self._capacity:
             oldest = self._recent.popleft()
             del self._sorted[bisect.bisect_left(self._sorted, oldest)]
         self._recent.append(value)
@@ -43,12 +43,12 @@
 class LengthModel:
     """Predicts the tokens of a sample from those of its group, or else of its step."""
 
-    def __init__(self, most_tokens: list[int], expected_tokens: list[int] | None = None) -> None:
+    def __init__(self, max_tokens: list[int], expected_tokens: list[int] | None = None) -> None:
         """Take the bound of each group and, where there are guesses, those (0 for none)."""
-        self._most_tokens = most_tokens
-        self._expected_tokens = expected_tokens or [0] * len(most_tokens)
-        self._step = RunningQuantile(_MOST_OF_STEP)
-        self._groups: dict[int, RunningQuantile] = {}
+        self._max_tokens = max_tokens
+        self._expected_tokens = expected_tokens or [0] * len(max_tokens)
+        self._step = SlidingWindow(_MAX_STEP_LENGTHS)
+        self._groups: dict[int, SlidingWindow] = {}
         self._total = 0
         self._count = 0
 
@@ -57,37 +57,37 @@
         """The mean tokens of the samples seen; 0 before the first."""
         return self._total / self._count if self._count else 0.0
 
-    def note_length(self, group: int, tokens: int) -> None:
+    def record_length(self, group: int, tokens: int) -> None:
         """Learn the length of a whole sample."""
         self._total += tokens
         self._count += 1
         self._step.add(tokens)
-        self._groups.setdefault(group, RunningQuantile(_MOST_OF_GROUP)).add(tokens)
+        self._groups.setdefault(group, SlidingWindow(_MAX_GROUP_LENGTHS)).add(tokens)
 
-    def predict_fresh(self, group: int) -> int:
+    def predict_unstarted(self, group: int) -> int:
         """Return the tokens of a sample not yet begun; the most where nothing is known."""
         if group not in self._groups and self._expected_tokens[group]:
-            return min(self._most_tokens[group], self._expected_tokens[group])
+            return min(self._max_tokens[group], self._expected_tokens[group])
         if group not in self._groups:
-            return self._most_tokens[group]
+            return self._max_tokens[group]
         return self.predict_total(group, 0)
 
-    def predict_total(self, group: int, made: int) -> int:
+    def predict_total(self, group: int, generated: int) -> int:
         """Return the tokens that a sample will have, given what is made of it."""
-        most = self._most_tokens[group]
-        if group not in self._groups and made < self._expected_tokens[group]:
+        most = self._max_tokens[group]
+        if group not in self._groups and generated < self._expected_tokens[group]:
             return min(most, self._expected_tokens[group])
         if self._step.count == 0:
-            return max(most, made)
-        expected = self._find_expected(group, made)
-        return max(made, min(most, int(expected)))
+            return max(most, generated)
+        expected = self._find_expected(group, generated)
+        return max(generated, min(most, int(expected)))
 
-    def _find_expected(self, group: int, made: int) -> float:
-        of_step = self._step.find_median_above(made)
+    def _find_expected(self, group: int, generated: int) -> float:
+        of_step = self._step.find_median_above(generated)
         if of_step is None:
-            return _GROWTH * made
+            return _UNSEEN_LENGTH_FACTOR * generated
         known = self._groups.get(group)
-        of_group = known.find_median_above(made) if known else None
+        of_group = known.find_median_above(generated) if known else None
         if known is None or of_group is None:
             return of_step
         weighted = of_group * known.count + of_step * _STEP_WEIGHT
@@ -98,20 +98,20 @@
     """How long work usually waits for its first token, and how fast it is made from then on."""
 
     def __init__(self) -> None:
-        self._rates = RunningQuantile(_MOST_RATES)
-        self._waits = RunningQuantile(_MOST_RATES)
+        self._rates = SlidingWindow(_MAX_RATES)
+        self._waits = SlidingWindow(_MAX_RATES)
 
     @property
-    def typical(self) -> float | None:
+    def typical_rate(self) -> float | None:
         """The median rate of finished work, if any has finished."""
         return self._rates.find_median_above(0.0)
 
     @property
-    def typical_wait(self) -> float:
+    def typical_wait_seconds(self) -> float:
         """The median seconds until the first token of finished work; 0 before any has finished."""
         return self._waits.find_median_above(-1.0) or 0.0
 
-    def note_work(self, rate: float | None, wait_seconds: float | None) -> None:
+    def record_work(self, rate: float | None, wait_seconds: float | None) -> None:
         """Learn from finished work what it tells."""
         if rate:
             self._rates.add(rate)
--- a/libs/samples/oleander_samples/pulls.py
+++ b/libs/samples/oleander_samples/pulls.py
@@ -20,7 +20,7 @@
     held: frozenset[int]
     wait_ms: int
     """How long the trainer is willing to wait for the first sample."""
-    most: int
+    max_samples: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -62,20 +62,20 @@
     digest: str
 
 
-def write_answer(answer: PullAnswer) -> EncodedAnswer:
+def encode_answer(answer: PullAnswer) -> EncodedAnswer:
     """Return the JSON of an answer; the digest lets the trainer notice one that was cut."""
     content = {
         "step": answer.step,
         "version": answer.version,
         "complete": answer.complete,
-        "samples": [_describe_sample(item) for item in answer.samples],
+        "samples": [_encode_sample(item) for item in answer.samples],
     }
     body = json.dumps(content, separators=(",", ":")).encode("ascii")
     digest = base64.b64encode(hashlib.sha256(body).digest()).decode("ascii")
     return EncodedAnswer(body, f"sha-256=:{digest}:")
 
 
-def _describe_sample(sample: steps.Sample) -> dict[str, object]:
+def _encode_sample(sample: steps.Sample) -> dict[str, object]:
     return {
         "number": sample.number,
         "group": sample.group,
--- a/libs/samples/oleander_samples/readers.py
+++ b/libs/samples/oleander_samples/readers.py
@@ -7,17 +7,17 @@
 from oleander_base import findings
 from oleander_samples import fields, held, pulls, steps
 
-MOST_STEP_BYTES = 16 * 1024 * 1024
-MOST_PULL_BYTES = 256 * 1024
-MOST_GROUPS = 4096
-MOST_SAMPLES = 2 * 8192
+MAX_STEP_BYTES = 16 * 1024 * 1024
+MAX_PULL_BYTES = 256 * 1024
+MAX_GROUPS = 4096
+MAX_SAMPLES = 2 * 8192
 """Samples of one step."""
-MOST_PROMPT_BYTES = 256 * 1024
-MOST_PREFIX_BYTES = 64 * 1024
-MOST_TOKENS = 128 * 1024
+MAX_PROMPT_BYTES = 256 * 1024
+MAX_PREFIX_BYTES = 64 * 1024
+MAX_TOKENS = 128 * 1024
 """Tokens of one sample."""
-MOST_WAIT_MS = 60_000
-MOST_PULLED = 1024
+MAX_WAIT_MS = 60_000
+MAX_PULLED_SAMPLES = 1024
 """Samples of one answer."""
 
 _STEP_TEXT = re.compile(r"\d{1,15}", re.ASCII)
@@ -29,19 +29,19 @@
     """Return the step that a trainer registers."""
     found = fields.FindingList()
     number = _read_step_number(step_text, found)
-    content = fields.parse_object(body, MOST_STEP_BYTES)
+    content = fields.parse_object(body, MAX_STEP_BYTES)
     if content.is_error():
         found.extend(content.error)
         return expression.Error(found.build())
     reader = fields.FieldReader(content.ok, "", found)
-    incarnation = reader.read_whole("incarnation", 0)
-    version = reader.read_whole("version", 0)
-    groups = tuple(map(_read_group, reader.read_objects("groups", MOST_GROUPS)))
-    total = sum(group.samples for group in groups)
-    if total > MOST_SAMPLES:
-        found.add("groups", f"has {total} samples in all, more than {MOST_SAMPLES}")
+    incarnation = reader.read_integer("incarnation", 0)
+    version = reader.read_integer("version", 0)
+    groups = tuple(map(_read_group, reader.read_objects("groups", MAX_GROUPS)))
+    total = sum(group.sample_count for group in groups)
+    if total > MAX_SAMPLES:
+        found.add("groups", f"has {total} samples in all, more than {MAX_SAMPLES}")
     numbers = None
-    if reader.has("held") and found.is_empty:
+    if reader.has_field("held") and found.is_empty:
         numbers = _read_held(reader, total, found)
     if not found.is_empty:
         return expression.Error(found.build())
@@ -53,16 +53,16 @@
 def read_pull(body: bytes) -> expression.Result[pulls.Pull, findings.Findings]:
     """Return a pull; whether its numbers belong to the step is for the collector to check."""
     found = fields.FindingList()
-    content = fields.parse_object(body, MOST_PULL_BYTES)
+    content = fields.parse_object(body, MAX_PULL_BYTES)
     if content.is_error():
         return expression.Error(content.error)
     reader = fields.FieldReader(content.ok, "", found)
     pull = pulls.Pull(
-        incarnation=reader.read_whole("incarnation", 0),
-        version=reader.read_whole("version", 0),
-        held=_read_held(reader, MOST_SAMPLES, found),
-        wait_ms=reader.read_whole("wait_ms", 0, MOST_WAIT_MS),
-        most=reader.read_whole("most", 1, MOST_PULLED),
+        incarnation=reader.read_integer("incarnation", 0),
+        version=reader.read_integer("version", 0),
+        held=_read_held(reader, MAX_SAMPLES, found),
+        wait_ms=reader.read_integer("wait_ms", 0, MAX_WAIT_MS),
+        max_samples=reader.read_integer("most", 1, MAX_PULLED_SAMPLES),
     )
     if not found.is_empty:
         return expression.Error(found.build())
@@ -78,18 +78,18 @@
 
 def _read_group(reader: fields.FieldReader) -> steps.Group:
     return steps.Group(
-        prompt=reader.read_text("prompt", MOST_PROMPT_BYTES),
-        prefix=reader.read_text("prefix", MOST_PREFIX_BYTES),
-        samples=reader.read_whole("samples", 1, MOST_SAMPLES),
-        max_tokens=reader.read_whole("max_tokens", 1, MOST_TOKENS),
+        prompt=reader.read_string("prompt", MAX_PROMPT_BYTES),
+        prefix=reader.read_string("prefix", MAX_PREFIX_BYTES),
+        sample_count=reader.read_integer("samples", 1, MAX_SAMPLES),
+        max_tokens=reader.read_integer("max_tokens", 1, MAX_TOKENS),
     )
 
 
 def _read_held(
     reader: fields.FieldReader, total: int, found: fields.FindingList
 ) -> frozenset[int]:
-    text = reader.read_text("held", MOST_PULL_BYTES)
-    numbers = held.read_held(text, total)
+    text = reader.read_string("held", MAX_PULL_BYTES)
+    numbers = held.parse_numbers(text, total)
     if numbers.is_ok():
         return numbers.ok
     found.extend(numbers.error)
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -12,9 +12,9 @@
 from oleander_contracts import contract
 from oleander_samples import collector, scheduler, steps
 
-MOST_TRAINERS = 256
+MAX_TRAINERS = 256
 """Trainers whose newest incarnation is remembered."""
-MOST_OPEN_STEPS = 32
+MAX_OPEN_STEPS = 32
 
 
 class RefusalReason(enum.Enum):
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Trainer:
+class _TrainerState:
     """What is known of a trainer."""
 
     incarnation: int
@@ -59,19 +59,19 @@
     def __init__(
         self,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
-        most_trainers: int = MOST_TRAINERS,
-        most_open_steps: int = MOST_OPEN_STEPS,
+        max_trainers: int = MAX_TRAINERS,
+        max_open_steps: int = MAX_OPEN_STEPS,
     ) -> None:
         invariants.require(
-            most_open_steps < most_trainers, "registry-bounds", "one must be idle at the bound"
+            max_open_steps < max_trainers, "registry-bounds", "one must be idle at the bound"
         )
         self._read_now = read_now
-        self._most_trainers = most_trainers
-        self._most_open_steps = most_open_steps
+        self._max_trainers = max_trainers
+        self._max_open_steps = max_open_steps
         self._lock = threading.Lock()
-        self._trainers: dict[tuple[str, str], _Trainer] = {}
+        self._trainers: dict[tuple[str, str], _TrainerState] = {}
         self._cancellations: collections.deque[str] = collections.deque(
-            maxlen=scheduler.MOST_CANCELLATIONS
+            maxlen=scheduler.MAX_PENDING_CANCELLATIONS
         )
 
     @property
@@ -80,7 +80,7 @@
         with self._lock:
             return tuple(self._list_open())
 
-    def put(
+    def register(
         self, step: steps.Step, terms: contract.TrainerTerms
     ) -> expression.Result[collector.StepCollector, StepRefusal]:
         """Register a step; the same one again changes nothing but what its trainer says."""
@@ -94,7 +94,7 @@
                 return _refuse(RefusalReason.SUPERSEDED, f"step {trainer.step}")
             if step.step > trainer.step or trainer.open_step is None:
                 return self._open(step, terms)
-            return _join(trainer.open_step, step)
+            return _update_registered(trainer.open_step, step)
 
     def find(self, customer: str, trainer: str, step: int) -> collector.StepCollector | None:
         """Return the collector of a step that is open."""
@@ -104,13 +104,13 @@
                 return None
             return known.open_step
 
-    def note_incarnation(self, customer: str, trainer: str, incarnation: int) -> None:
+    def record_incarnation(self, customer: str, trainer: str, incarnation: int) -> None:
         """Take in that an incarnation of a trainer was heard, here or elsewhere."""
         with self._lock:
             known = self._trainers.get((customer, trainer))
             if known is not None and incarnation <= known.incarnation:
                 return
-            self._replace((customer, trainer), _Trainer(incarnation))
+            self._store_trainer((customer, trainer), _TrainerState(incarnation))
 
     def delete(self, customer: str, trainer: str, step: int) -> bool:
         """End a step; return whether it was open."""
@@ -141,10 +141,10 @@
     ) -> expression.Result[collector.StepCollector, StepRefusal]:
         key = (step.customer, step.trainer)
         if not self._make_room(key):
-            return _refuse(RefusalReason.TOO_MANY, f"{self._most_open_steps} steps are open")
+            return _refuse(RefusalReason.TOO_MANY, f"{self._max_open_steps} steps are open")
         seed = identifiers.hash_text(f"{step.customer}/{step.trainer}/{step.step}")
         opened = collector.StepCollector(step, terms, seed, self._read_now)
-        self._replace(key, _Trainer(step.incarnation, step.step, opened))
+        self._store_trainer(key, _TrainerState(step.incarnation, step.step, opened))
         return expression.Ok(opened)
 
     def _make_room(self, key: tuple[str, str]) -> bool:
@@ -153,7 +153,7 @@
             for name, item in self._trainers.items()
             if name != key and item.open_step is not None
         ]
-        if len(others) < self._most_open_steps:
+        if len(others) < self._max_open_steps:
             return True
         for item in others:
             if item.open_step is not None and item.open_step.is_abandoned:
@@ -161,17 +161,17 @@
                 return True
         return False
 
-    def _replace(self, key: tuple[str, str], trainer: _Trainer) -> None:
+    def _store_trainer(self, key: tuple[str, str], trainer: _TrainerState) -> None:
         """Put a trainer at the end of the table; the first without a step makes room for it."""
         known = self._trainers.pop(key, None)
         if known is not None:
             self._close(known)
-        if len(self._trainers) >= self._most_trainers:
+        if len(self._trainers) >= self._max_trainers:
             idle = [name for name, item in self._trainers.items() if item.open_step is None]
             del self._trainers[idle[0]]
         self._trainers[key] = trainer
 
-    def _close(self, trainer: _Trainer) -> None:
+    def _close(self, trainer: _TrainerState) -> None:
         if trainer.open_step is not None:
             trainer.open_step.close()
             self._cancellations.extend(trainer.open_step.take_cancellations())
@@ -181,15 +181,15 @@
         return [item.open_step for item in self._trainers.values() if item.open_step is not None]
 
 
-def _join(
+def _update_registered(
     known: collector.StepCollector, step: steps.Step
 ) -> expression.Result[collector.StepCollector, StepRefusal]:
     if known.digest != step.digest:
         return _refuse(RefusalReason.CONFLICT, "the step was registered with other groups")
     if step.held is None:
-        known.note_version(step.version)
+        known.record_version(step.version)
     else:
-        known.note_held(step.held, step.version)
+        known.record_held(step.held, step.version)
     return expression.Ok(known)
 
 
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -9,13 +9,13 @@
 from oleander_base import identifiers, invariants, metrics
 from oleander_samples import attempts, backlog, hedging, labels, predictions, steps, work
 
-MOST_TEXT_CHARACTERS = 4 * 1024 * 1024
+MAX_TEXT_CHARACTERS = 4 * 1024 * 1024
 """A sample that grows beyond this is thrown away and made anew."""
-MOST_CANCELLATIONS = 64 * 1024
+MAX_PENDING_CANCELLATIONS = 64 * 1024
 """Beyond this the oldest are forgotten: their engines make what nobody takes."""
-_FIRST_DELAY_SECONDS = 0.1
-_MOST_DOUBLINGS = 10
-RESTART_PERCENT = 25
+_INITIAL_BACKOFF_SECONDS = 0.1
+_MAX_DOUBLINGS = 10
+MAX_DISCARDED_PERCENT = 25
 """The part of a sample's expected length that is given up for newer weights, for staleness."""
 
 
@@ -33,7 +33,7 @@
         step: steps.Step,
         policy: hedging.StragglerPolicy,
         random_seed: int,
-        restart_percent: int = 0,
+        max_discarded_percent: int = 0,
     ) -> None:
         """Make anew what had at most so much of its expected length when its weights changed."""
         self._step = step
@@ -42,7 +42,7 @@
         self._work_count = 0
         self._oldest_version = 0
         self._group_of = [
-            index for index, group in enumerate(step.groups) for _ in range(group.samples)
+            index for index, group in enumerate(step.groups) for _ in range(group.sample_count)
         ]
         self._lengths = predictions.LengthModel(
             [group.max_tokens for group in step.groups],
@@ -51,13 +51,15 @@
         self._rates = predictions.RateModel()
         self._backlog = backlog.Backlog(self._group_of, self._lengths)
         self._policy = policy
-        self._restart_percent = restart_percent
+        self._max_discarded_percent = max_discarded_percent
         self._attempts = attempts.AttemptTable()
-        self._hedges = hedging.HedgePlanner(policy, step.total, self._lengths, self._rates)
+        self._hedges = hedging.HedgePlanner(policy, step.sample_count, self._lengths, self._rates)
         self._stragglers: collections.deque[int] = collections.deque()
         self._partials: dict[int, work.Partial] = {}
         self._failures: dict[int, int] = {}
-        self._cancellations: collections.deque[str] = collections.deque(maxlen=MOST_CANCELLATIONS)
+        self._cancellations: collections.deque[str] = collections.deque(
+            maxlen=MAX_PENDING_CANCELLATIONS
+        )
 
     @property
     def waiting(self) -> int:
@@ -67,7 +69,7 @@
     @property
     def running(self) -> int:
         """How many samples have an attempt."""
-        return self._attempts.numbers
+        return self._attempts.sample_count
 
     @property
     def in_flight(self) -> int:
@@ -77,10 +79,10 @@
     @property
     def hedge_tokens(self) -> int:
         """The tokens that hedges have made, counted against their budget."""
-        return self._hedges.spent
+        return self._hedges.spent_tokens
 
     def start_next(
-        self, now: float, has_spare: bool = True, spare_rate: float | None = None
+        self, now: float, has_free_slot: bool = True, free_slot_rate: float | None = None
     ) -> work.SampleWork | None:
         """
         Return what to start: a waiting sample, or else a straggler's next attempt.
@@ -91,11 +93,11 @@
         number = self._backlog.pop(now)
         if number is not None:
             return self._start(number, self._partials.pop(number, None), now, is_hedge=False)
-        if self._backlog or not has_spare:
+        if self._backlog or not has_free_slot:
             return None
-        return self._start_straggler(now, spare_rate)
+        return self._start_straggler(now, free_slot_rate)
 
-    def note_progress(
+    def record_progress(
         self, work_id: str, text: str, tokens: int, version: int | None, now: float
     ) -> None:
         """Take in a piece of a stream; pieces of work that was cancelled are dropped."""
@@ -103,17 +105,19 @@
         if attempt is None:
             return
         attempt.add_piece(text, tokens, version, now)
-        self._hedges.note_made(work_id, tokens)
+        self._hedges.record_tokens(work_id, tokens)
         if self._is_stale(attempt.oldest_version):
             self._cancel_stale(attempt, now)
         elif self._is_worth_restarting(attempt):
             self._cancel(attempt)
-            self._make_anew(attempt, now)
-        elif attempt.characters > MOST_TEXT_CHARACTERS:
+            self._restart_discarded(attempt, now)
+        elif attempt.characters > MAX_TEXT_CHARACTERS:
             self._cancel(attempt)
-            self._make_anew(attempt, now + self._choose_delay(attempt.work.number))
+            self._restart_discarded(
+                attempt, now + self._choose_backoff_seconds(attempt.work.number)
+            )
         elif self._hedges.is_overspent:
-            self._end_race(attempt.work.number, now)
+            self._cancel_slower(attempt.work.number, now)
 
     def finish(
         self, work_id: str, assumption: labels.Assumption | None, now: float
@@ -124,13 +128,15 @@
             return expression.Error(work.Outcome.NOT_WANTED)
         built = attempt.build_sample(assumption)
         if built.is_error():
-            self._make_anew(attempt, now + self._choose_delay(attempt.work.number))
+            self._restart_discarded(
+                attempt, now + self._choose_backoff_seconds(attempt.work.number)
+            )
             return expression.Error(work.Outcome.UNKNOWN_LABEL)
         if self._is_stale(built.ok.oldest_version):
             steps.count_samples(self._step, metrics.SAMPLES_STALE)
-            self._make_anew(attempt, now)
+            self._restart_discarded(attempt, now)
             return expression.Error(work.Outcome.STALE)
-        self._learn(attempt)
+        self._update_predictions(attempt)
         return expression.Ok(built.ok)
 
     def fail(self, work_id: str, now: float) -> None:
@@ -144,16 +150,16 @@
         if attempt is None:
             return
         number = attempt.work.number
-        if attempt.made_tokens:
+        if attempt.generated_tokens:
             self._failures.pop(number, None)
-        ready_at = now if attempt.made_tokens else now + self._choose_delay(number)
-        if not self._keep_partial(attempt):
-            self._make_anew(attempt, ready_at)
+        ready_at = now if attempt.generated_tokens else now + self._choose_backoff_seconds(number)
+        if not self._save_partial(attempt):
+            self._restart_discarded(attempt, ready_at)
             return
         if not self._attempts.find_all(number):
             self._backlog.add_retry(number, ready_at)
 
-    def put_back(self, work_id: str, now: float) -> None:
+    def requeue_refused(self, work_id: str, now: float) -> None:
         """
         Take in that work was refused before it began; it keeps what it resumes from.
 
@@ -163,11 +169,11 @@
         attempt = self._remove(work_id)
         if attempt is None:
             return
-        self._keep_partial(attempt)
+        self._save_partial(attempt)
         if not self._attempts.find_all(attempt.work.number):
             self._backlog.add_retry(attempt.work.number, now)
 
-    def resume_from(self, number: int, partial: work.Partial) -> None:
+    def add_partial(self, number: int, partial: work.Partial) -> None:
         """Take in the start of a sample that another process made."""
         known = self._partials.get(number)
         if known is None or known.tokens < partial.tokens:
@@ -177,27 +183,27 @@
         """Return the longest start of each sample that is not whole."""
         found = dict(self._partials)
         for attempt in self._attempts:
-            partial = attempt.find_partial()
+            partial = attempt.build_partial()
             known = found.get(attempt.work.number)
             if partial is not None and (known is None or known.tokens < partial.tokens):
                 found[attempt.work.number] = partial
         return found
 
-    def drop(self, number: int) -> tuple[str, ...]:
+    def stop_sample(self, number: int) -> tuple[str, ...]:
         """Stop work at a sample that is there; return the attempts that were running."""
-        losers = self._attempts.find_all(number)
-        for attempt in losers:
+        redundant = self._attempts.find_all(number)
+        for attempt in redundant:
             self._remove(attempt.work.work_id)
         self._backlog.remove(number)
         self._partials.pop(number, None)
         self._failures.pop(number, None)
-        return tuple(attempt.work.work_id for attempt in losers)
+        return tuple(attempt.work.work_id for attempt in redundant)
 
-    def restore(self, number: int, now: float) -> None:
+    def restart_sample(self, number: int, now: float) -> None:
         """Make a sample that was there and is no more."""
         self._backlog.add_retry(number, now)
 
-    def raise_oldest(self, version: int, now: float) -> None:
+    def raise_oldest_version(self, version: int, now: float) -> None:
         """Give up at once what was begun with weights that are too old to be delivered."""
         self._oldest_version = version
         stale = [item for item in self._attempts if self._is_stale(item.oldest_version)]
@@ -225,12 +231,12 @@
         self._cancellations.clear()
         return taken
 
-    def _keep_partial(self, attempt: work.Attempt) -> bool:
+    def _save_partial(self, attempt: work.Attempt) -> bool:
         """Keep what an attempt can be resumed from; return whether there is anything."""
-        partial = attempt.find_partial()
+        partial = attempt.build_partial()
         if partial is None:
             return False
-        self.resume_from(attempt.work.number, partial)
+        self.add_partial(attempt.work.number, partial)
         return True
 
     def _start(
@@ -257,66 +263,70 @@
             resumed_tokens=made,
             oldest_version=self._oldest_version,
             is_hedge=is_hedge,
-            expected_tokens=self._hedges.predict_hedge(group, made),
+            expected_tokens=self._hedges.predict_hedge_tokens(group, made),
         )
         self._attempts.add(work.Attempt(started, now))
         return started
 
-    def _start_straggler(self, now: float, spare_rate: float | None) -> work.SampleWork | None:
-        whole = self._step.total - self.waiting - self.running
-        if self._hedges.is_due(whole, now):
+    def _start_straggler(self, now: float, free_slot_rate: float | None) -> work.SampleWork | None:
+        whole = self._step.sample_count - self.waiting - self.running
+        if self._hedges.is_scan_due(whole, now):
             self._stragglers.clear()
-            found = self._hedges.find_stragglers(self._attempts, now, spare_rate)
+            found = self._hedges.find_stragglers(self._attempts, now, free_slot_rate)
             self._stragglers.extend(found)
         while self._stragglers:
             number = self._stragglers.popleft()
             same = self._attempts.find_all(number)
             started = self._hedge(same[0], now) if len(same) == 1 else None
             if started is None:
-                started = self._move(number, now)
+                started = self._migrate(number, now)
             if started is not None:
                 return started
         return None
 
     def _hedge(self, straggler: work.Attempt, now: float) -> work.SampleWork | None:
         """Start a second attempt from the text so far, if the budget has room for it."""
-        partial = straggler.find_partial()
+        partial = straggler.build_partial()
         made = partial.tokens if partial else 0
-        tokens = self._hedges.predict_hedge(straggler.work.group, made)
-        if not self._hedges.admits(tokens):
+        tokens = self._hedges.predict_hedge_tokens(straggler.work.group, made)
+        if not self._hedges.has_budget_for(tokens):
             return None
         hedge = self._start(straggler.work.number, partial, now, is_hedge=True)
         self._hedges.reserve(hedge.work_id, tokens)
         return hedge
 
-    def _move(self, number: int, now: float) -> work.SampleWork | None:
+    def _migrate(self, number: int, now: float) -> work.SampleWork | None:
         """Cancel a sample's attempts and start one from the longest text; no token is lost."""
         same = self._attempts.find_all(number)
-        partials = [partial for item in same if (partial := item.find_partial()) is not None]
+        partials = [partial for item in same if (partial := item.build_partial()) is not None]
         longest = max(partials, key=lambda item: item.tokens, default=None)
         made = max((item.tokens for item in same), default=0)
-        if not same or not self._policy.moves or made > (longest.tokens if longest else 0):
+        if (
+            not same
+            or not self._policy.allows_migration
+            or made > (longest.tokens if longest else 0)
+        ):
             return None
         for attempt in same:
             self._cancel(attempt)
         return self._start(number, longest, now, is_hedge=False)
 
-    def _end_race(self, number: int, now: float) -> None:
+    def _cancel_slower(self, number: int, now: float) -> None:
         """Cancel the later of two attempts, so that hedges cost no more than they may."""
         same = self._attempts.find_all(number)
         if len(same) > 1:
             self._cancel(self._hedges.find_slower(same[0], same[1], now))
 
-    def _learn(self, attempt: work.Attempt) -> None:
-        self._lengths.note_length(attempt.work.group, attempt.tokens)
-        self._rates.note_work(attempt.mean_rate, attempt.wait_seconds)
-        self._backlog.rank_group(attempt.work.group)
+    def _update_predictions(self, attempt: work.Attempt) -> None:
+        self._lengths.record_length(attempt.work.group, attempt.tokens)
+        self._rates.record_work(attempt.mean_rate, attempt.time_to_first_token)
+        self._backlog.update_rank(attempt.work.group)
 
     def _is_worth_restarting(self, attempt: work.Attempt) -> bool:
         """Tell whether a few tokens make a sample older than most of it will be."""
-        outdated = attempt.outdated_tokens if self._restart_percent else 0
-        expected = self._lengths.predict_fresh(attempt.work.group)
-        return 0 < outdated * 100 <= expected * self._restart_percent
+        outdated = attempt.outdated_tokens if self._max_discarded_percent else 0
+        expected = self._lengths.predict_unstarted(attempt.work.group)
+        return 0 < outdated * 100 <= expected * self._max_discarded_percent
 
     def _is_stale(self, oldest_version: int | None) -> bool:
         return oldest_version is not None and oldest_version < self._oldest_version
@@ -324,7 +334,7 @@
     def _cancel_stale(self, attempt: work.Attempt, now: float) -> None:
         steps.count_samples(self._step, metrics.SAMPLES_STALE)
         self._cancel(attempt)
-        self._make_anew(attempt, now)
+        self._restart_discarded(attempt, now)
 
     def _cancel(self, attempt: work.Attempt) -> None:
         self._remove(attempt.work.work_id)
@@ -338,7 +348,7 @@
             self._hedges.release(other.work.work_id)
         return attempt
 
-    def _make_anew(self, attempt: work.Attempt, ready_at: float) -> None:
+    def _restart_discarded(self, attempt: work.Attempt, ready_at: float) -> None:
         """Let a sample wait whose attempt was thrown away, unless another attempt runs."""
         number = attempt.work.number
         if self._attempts.find_all(number):
@@ -347,10 +357,10 @@
             steps.count_samples(self._step, metrics.SAMPLES_REMADE)
         self._backlog.add_retry(number, ready_at)
 
-    def _choose_delay(self, number: int) -> float:
+    def _choose_backoff_seconds(self, number: int) -> float:
         """Return a random, growing delay: a sample that keeps failing must not spin."""
         failures = self._failures.get(number, 0)
         self._failures[number] = failures + 1
-        longest = math.ldexp(_FIRST_DELAY_SECONDS, min(failures, _MOST_DOUBLINGS))
-        most = min(self._policy.retry_seconds, longest)
+        longest = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
+        most = min(self._policy.max_backoff_seconds, longest)
         return most * self._random.uniform(0.5, 1.0)
--- a/libs/samples/oleander_samples/steps.py
+++ b/libs/samples/oleander_samples/steps.py
@@ -13,7 +13,7 @@
     prompt: str
     prefix: str
     """Names the shared start of the prompt, for the engines' prefix caches; may be empty."""
-    samples: int
+    sample_count: int
     max_tokens: int
     """The most tokens of one sample."""
     expected_tokens: int = 0
@@ -39,14 +39,14 @@
     def digest(self) -> str:
         """A short digest of the groups; tells two bodies for the same step apart."""
         content = [
-            [item.prompt, item.prefix, item.samples, item.max_tokens] for item in self.groups
+            [item.prompt, item.prefix, item.sample_count, item.max_tokens] for item in self.groups
         ]
         return identifiers.digest_body(json.dumps(content).encode())
 
     @property
-    def total(self) -> int:
+    def sample_count(self) -> int:
         """How many samples the step has."""
-        return sum(item.samples for item in self.groups)
+        return sum(item.sample_count for item in self.groups)
 
 
 def count_samples(step: Step, metric: str, amount: int = 1) -> None:
--- a/libs/samples/oleander_samples/work.py
+++ b/libs/samples/oleander_samples/work.py
@@ -14,9 +14,9 @@
 
 _WINDOW_TOKENS = 512
 """A rate is averaged over the time in which an engine typically makes so many."""
-_MOST_WINDOW_SECONDS = 5.0
+_MAX_WINDOW_SECONDS = 5.0
 """Longer, and a slow engine keeps its text for most of the time in which its step is due."""
-_LEAST_WINDOW_SECONDS = 1.5
+_MIN_WINDOW_SECONDS = 1.5
 """Shorter, and engines that stand still for a second to load weights look slow."""
 
 
@@ -61,7 +61,7 @@
     """What became of a whole answer, and the other attempts that are of no more use."""
 
     outcome: Outcome
-    losers: tuple[str, ...] = ()
+    redundant_work_ids: tuple[str, ...] = ()
     """Work to cancel at its engines."""
 
     @property
@@ -93,7 +93,7 @@
         self._text = io.StringIO()
         self._text.write(work.resumed_text)
         self._label = labels.LabelBuilder(work.resumed_label)
-        self._made_tokens = 0
+        self._generated_tokens = 0
         self._first_piece: tuple[float, int] | None = None
         self._last_piece_at = started_at
         self._window = (started_at, 0)
@@ -105,14 +105,14 @@
         return self._work
 
     @property
-    def made_tokens(self) -> int:
+    def generated_tokens(self) -> int:
         """The tokens of this attempt alone."""
-        return self._made_tokens
+        return self._generated_tokens
 
     @property
     def tokens(self) -> int:
         """The tokens of the sample so far."""
-        return self._work.resumed_tokens + self._made_tokens
+        return self._work.resumed_tokens + self._generated_tokens
 
     @property
     def characters(self) -> int:
@@ -130,9 +130,9 @@
         return self._label.outdated_tokens
 
     @property
-    def wait_seconds(self) -> float | None:
+    def time_to_first_token(self) -> float | None:
         """How long it waited for its first piece; one that came in a single piece doesn't tell."""
-        if self._first_piece is None or self._first_piece[1] == self._made_tokens:
+        if self._first_piece is None or self._first_piece[1] == self._generated_tokens:
             return None
         return self._first_piece[0] - self._started_at
 
@@ -147,25 +147,25 @@
         if self._first_piece is None:
             return None
         since, before = self._first_piece
-        if self._made_tokens == before or self._last_piece_at <= since:
+        if self._generated_tokens == before or self._last_piece_at <= since:
             since, before = self._started_at, 0
         seconds = self._last_piece_at - since
-        return (self._made_tokens - before) / seconds if seconds > 0.0 else None
+        return (self._generated_tokens - before) / seconds if seconds > 0.0 else None
 
     def add_piece(self, text: str, tokens: int, version: int | None, now: float) -> None:
         """Take in a piece of the stream."""
         self._text.write(text)
         self._label.add(version, tokens)
-        self._made_tokens += max(0, tokens)
+        self._generated_tokens += max(0, tokens)
         self._last_piece_at = now
         if self._first_piece is None and tokens > 0:
             self._first_piece = (now, tokens)
 
-    def measure_seconds(self, now: float) -> float:
+    def measure_elapsed(self, now: float) -> float:
         """Return how long it has run, the wait for a slot included."""
         return now - self._started_at
 
-    def measure_rate(self, typical: float, patience: float, now: float) -> float:
+    def measure_rate(self, typical_rate: float, max_wait_seconds: float, now: float) -> float:
         """
         Return its tokens a second lately; call it regularly.
 
@@ -174,32 +174,34 @@
         Only the last seconds count: an engine that stops after a good start would look
         fast on the whole for as long as it ran well.
         """
-        window_seconds = max(_LEAST_WINDOW_SECONDS, _WINDOW_TOKENS / typical)
-        if now - self._next_window[0] >= min(_MOST_WINDOW_SECONDS, window_seconds):
+        window_seconds = max(_MIN_WINDOW_SECONDS, _WINDOW_TOKENS / typical_rate)
+        if now - self._next_window[0] >= min(_MAX_WINDOW_SECONDS, window_seconds):
             self._window = self._next_window
-            self._next_window = (now, self._made_tokens)
+            self._next_window = (now, self._generated_tokens)
         since, before = self._window
         if self._first_piece is not None and since == self._started_at:
-            since = min(self._first_piece[0], self._started_at + patience)
-        seconds = now - since + _PRIOR_TOKENS / typical
-        return (self._made_tokens - before + _PRIOR_TOKENS) / seconds
+            since = min(self._first_piece[0], self._started_at + max_wait_seconds)
+        seconds = now - since + _PRIOR_TOKENS / typical_rate
+        return (self._generated_tokens - before + _PRIOR_TOKENS) / seconds
 
     def build_sample(
         self, assumption: labels.Assumption | None
     ) -> expression.Result[steps.Sample, labels.LabelError]:
         """Return the sample, once it is whole."""
         if assumption is not None:
-            self._label.assume(assumption.before, assumption.after, assumption.order_open)
+            self._label.set_assumption(
+                assumption.before, assumption.after, assumption.has_pending_order
+            )
         label = self._label.build()
         if label.is_error():
             return expression.Error(label.error)
-        self._require_covered(label.ok)
+        self._check_label_covers_tokens(label.ok)
         work = self._work
         return expression.Ok(
             steps.Sample(work.number, work.group, self._text.getvalue(), label.ok)
         )
 
-    def find_partial(self) -> Partial | None:
+    def build_partial(self) -> Partial | None:
         """
         Return what another attempt can resume from, if its label is known.
 
@@ -209,10 +211,10 @@
         label = self._label.build()
         if label.is_error() or self.tokens >= self._work.max_tokens:
             return None
-        self._require_covered(label.ok)
+        self._check_label_covers_tokens(label.ok)
         return Partial(self._text.getvalue(), label.ok, self.tokens)
 
-    def _require_covered(self, label: tuple[steps.LabelPart, ...]) -> None:
+    def _check_label_covers_tokens(self, label: tuple[steps.LabelPart, ...]) -> None:
         invariants.require(
             sum(part.tokens for part in label) == self.tokens,
             "label-covers-sample",
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -13,11 +13,11 @@
 
 POLICY = hedging.StragglerPolicy(
     hedge_percent=0,
-    moves=True,
-    nearly_whole_percent=10,
-    start_seconds=1.0,
-    retry_seconds=1.0,
-    scan_seconds=0.4,
+    allows_migration=True,
+    min_finished_percent=10,
+    min_wait_seconds=1.0,
+    max_backoff_seconds=1.0,
+    scan_interval_seconds=0.4,
 )
 """A straggler is cancelled before it goes on elsewhere, never raced: two engines that go on with
 one request at once are forbidden where this runs. Moving is cheap, so it begins early and is
@@ -77,7 +77,7 @@
         step = _build_step(submitted, event_tokens)
         seed = identifiers.hash_text(submitted.batch_id)
         self._scheduler = scheduler.WorkScheduler(step, POLICY, seed)
-        self._scheduler.raise_oldest(submitted.oldest_version, clock.read_now())
+        self._scheduler.raise_oldest_version(submitted.oldest_version, clock.read_now())
         self._errors: collections.Counter[int] = collections.Counter()
         self._cancelled: set[str] = set()
         self._last_servers: dict[int, str] = {}
@@ -128,7 +128,7 @@
         with self._lock:
             for number in list(self._batch.finished - self._known_finished):
                 self._known_finished.add(number)
-                self._cancelled.update(self._scheduler.drop(number))
+                self._cancelled.update(self._scheduler.stop_sample(number))
 
     def give_up_all(self) -> list[tuple[int, submission.ItemResult]]:
         """Give up what has no result, and return that it is lost."""
@@ -150,7 +150,7 @@
         start = work.Partial(partial.text, label, partial.events * self._event_tokens)
         if label and start.oldest_version >= self._submitted.oldest_version:
             with self._lock:
-                self._scheduler.resume_from(partial.item_number, start)
+                self._scheduler.add_partial(partial.item_number, start)
 
     def note_result(self, item_number: int, result: submission.ItemResult) -> None:
         """Remember a result, for an item that comes again in a later batch."""
@@ -191,7 +191,7 @@
             elif known.result is not None and self._fits(known.result):
                 reused.append((number, known.result))
                 with self._lock:
-                    self._scheduler.drop(number)
+                    self._scheduler.stop_sample(number)
         return reused
 
     def _fits(self, result: submission.ItemResult) -> bool:
@@ -265,7 +265,7 @@
         with self._lock:
             joined = text if self._is_first(item) else f"\n{text}"
             now = clock.read_now()
-            self._scheduler.note_progress(
+            self._scheduler.record_progress(
                 item.work.work_id, joined, self._event_tokens, version, now
             )
             self._cancelled.update(self._scheduler.take_cancellations())
@@ -288,7 +288,7 @@
         """Let an item wait again whose attempt was refused, or not sent, before it began."""
         with self._lock:
             self._forget(item)
-            self._scheduler.put_back(item.work.work_id, clock.read_now() + delay_seconds)
+            self._scheduler.requeue_refused(item.work.work_id, clock.read_now() + delay_seconds)
 
     def count_error(self, item_number: int) -> int:
         """Count an answer by which the server failed; return how many there were."""
--- a/programs/oleanderdeal/oleanderdeal/sampling.py
+++ b/programs/oleanderdeal/oleanderdeal/sampling.py
@@ -66,7 +66,7 @@
 
     def see_tokens(self, tokens: messages.Tokens) -> None:
         """Add the next tokens."""
-        self._made_for.note_progress(
+        self._made_for.record_progress(
             self._work.work_id, tokens.text, tokens.tokens, tokens.version
         )
 
@@ -186,7 +186,7 @@
         avoided = self._last_peers.find(made_for.step, work.number)
         ended = self._dispatcher.run_once(job, deadline, observer, avoided)
         if ended.answer.outcome is messages.Outcome.DONE:
-            self._cancel_all(made_for.finish_work(work.work_id).losers)
+            self._cancel_all(made_for.finish_work(work.work_id).redundant_work_ids)
             return
         made_for.fail_work(work.work_id)
         pause = ended.answer.retry_after_ms / 1000
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -80,11 +80,11 @@
             return http_messages.answer_findings(step.error)
         if self._runs.is_superseded(customer, trainer, step.ok.incarnation):
             return _refuse_step(registry.RefusalReason.SUPERSEDED)
-        put = self._steps.put(step.ok, terms)
+        put = self._steps.register(step.ok, terms)
         if put.is_error():
             return _refuse_step(put.error.reason)
         return http_messages.answer_json(
-            {"step": step.ok.step, "collector": self._own_url(), "samples": step.ok.total}
+            {"step": step.ok.step, "collector": self._own_url(), "samples": step.ok.sample_count}
         )
 
     def pull(
@@ -105,7 +105,7 @@
         accounts.count_samples(customer, trainer, "idle_ms", waited_ms)
         if pulled.is_error():
             return _refuse_pull(pulled.error)
-        encoded = pulls.write_answer(pulled.ok)
+        encoded = pulls.encode_answer(pulled.ok)
         return http_messages.HttpAnswer(
             200,
             http_messages.JSON_TYPE,
--- a/programs/oleanderdeal/oleanderdeal/trainer_runs.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_runs.py
@@ -56,7 +56,7 @@
             for trainer in terms.trainers:
                 newest = self._in_force.find_incarnation(terms.customer, trainer.name)
                 if newest >= 0:
-                    self._steps.note_incarnation(terms.customer, trainer.name, newest)
+                    self._steps.record_incarnation(terms.customer, trainer.name, newest)
 
     def write(self) -> None:
         """Append what waits until the group stops; an outage delays it."""
