--- a/libs/samples/oleander_samples/__init__.py
+++ b/libs/samples/oleander_samples/__init__.py
@@ -1,8 +1,8 @@
 """
-The samples of a step: collected whole, fresh and truthfully labelled.
+Scheduling and collection of the samples of a training step.
 
-The modules are not loaded here: the front program uses the scheduler alone, and would load the
-contracts and their YAML reader with the others, 2 MB in each process.
+The modules are imported for type checkers only: the front program uses just the scheduler, and
+importing the others would also load the contracts and their YAML parser, 2 MB in each process.
 """
 
 import typing
--- a/libs/samples/oleander_samples/attempts.py
+++ b/libs/samples/oleander_samples/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that run now, by their names and by their samples."""
+"""Table of the running attempts, indexed by work ID and by sample number."""
 
 import collections.abc
 
@@ -6,14 +6,15 @@
 from oleander_samples import work
 
 MAX_PER_SAMPLE = 2
+"""Maximum number of attempts at one sample: the original and its hedge."""
 
 
 class AttemptTable:
     """
-    Attempts that run now; at most two for each sample of the step.
+    The running attempts, at most `MAX_PER_SAMPLE` for each sample of the step.
 
-    One that was taken out is unknown from then on: whatever its engine still sends is dropped,
-    so an answer that comes late can't become a second copy of a sample.
+    Once an attempt is removed, its work ID is unknown and later output of its engine is ignored,
+    so that a late answer can't become a second copy of a sample.
     """
 
     def __init__(self) -> None:
@@ -21,32 +22,32 @@
         self._by_number: dict[int, list[work.Attempt]] = {}
 
     def __len__(self) -> int:
-        """Return how many attempts run."""
+        """Return the number of running attempts."""
         return len(self._by_work)
 
     def __iter__(self) -> collections.abc.Iterator[work.Attempt]:
-        """Go through all attempts; they may be taken out meanwhile."""
+        """Iterate over a snapshot of the attempts; removing some meanwhile is safe."""
         return iter(list(self._by_work.values()))
 
     @property
     def sample_count(self) -> int:
-        """How many samples are being made."""
+        """The number of samples with at least one running attempt."""
         return len(self._by_number)
 
     def find(self, work_id: str) -> work.Attempt | None:
-        """Return an attempt that runs."""
+        """Return a running attempt, or None if it was removed or never added."""
         return self._by_work.get(work_id)
 
     def find_all(self, number: int) -> tuple[work.Attempt, ...]:
-        """Return the attempts at one sample."""
+        """Return the running attempts at a sample."""
         return tuple(self._by_number.get(number, ()))
 
     def list_single(self) -> list[work.Attempt]:
-        """Return the attempts that run alone for their samples."""
+        """Return the attempts that are the only ones at their samples."""
         return [found[0] for found in self._by_number.values() if len(found) == 1]
 
     def add(self, attempt: work.Attempt) -> None:
-        """Take in an attempt that starts."""
+        """Add an attempt that starts now."""
         same = self._by_number.setdefault(attempt.work.number, [])
         invariants.require(
             len(same) < MAX_PER_SAMPLE,
@@ -57,7 +58,7 @@
         self._by_work[attempt.work.work_id] = attempt
 
     def remove(self, work_id: str) -> work.Attempt | None:
-        """Take out an attempt."""
+        """Remove and return an attempt, or return None if it is not running."""
         attempt = self._by_work.pop(work_id, None)
         if attempt is None:
             return None
--- a/libs/samples/oleander_samples/backlog.py
+++ b/libs/samples/oleander_samples/backlog.py
@@ -1,4 +1,4 @@
-"""Which sample to start next."""
+"""The queue of samples that wait to be started, and their order."""
 
 import heapq
 
@@ -9,11 +9,12 @@
 
 class Backlog:
     """
-    The numbers of samples that wait to be started; bounded by the samples of the step.
+    The numbers of the samples that wait to be started; bounded by the samples of the step.
 
-    Those tried before go first: the text they resume from grows stale, and they hold up the
-    step. Of the others, the longest predicted goes first, so that few long ones start last; a
-    group's members start in turn with those of its equals, so that they spread over engines.
+    Retries come first, because the text they resume from becomes stale and they delay the step.
+    The other samples follow by predicted length, longest first, so that few long samples start
+    late. Groups with the same prediction take turns, so that the samples of one group are spread
+    over the engines.
     """
 
     def __init__(self, group_of: list[int], lengths: predictions.LengthModel) -> None:
@@ -30,24 +31,24 @@
             self.update_rank(group)
 
     def __len__(self) -> int:
-        """Return how many wait, for now or for later."""
+        """Return how many samples wait, including retries that are not due yet."""
         return len(self._waiting)
 
     def __contains__(self, number: int) -> bool:
-        """Tell whether a sample waits."""
+        """Return whether a sample waits to be started."""
         return number in self._waiting
 
     def add_retry(self, number: int, ready_at: float) -> None:
-        """Let a sample that was started before wait until a point of time."""
+        """Queue a sample that was started before; it is due at `ready_at`."""
         self._waiting.add(number)
         heapq.heappush(self._retries, (ready_at, number))
 
     def remove(self, number: int) -> None:
-        """Forget a sample; its places in the queues are skipped later."""
+        """Remove a sample; `pop` skips the entries that are left in the queues."""
         self._waiting.discard(number)
 
     def pop(self, now: float) -> int | None:
-        """Return the next sample to start and take it out."""
+        """Remove and return the next sample to start, or return None if none is due."""
         number = self._pop_retry(now)
         if number is None:
             number = self._pop_unstarted()
@@ -56,7 +57,7 @@
         return number
 
     def update_rank(self, group: int) -> None:
-        """Put a group in its place after its prediction changed or a member started."""
+        """Update a group's rank after its prediction changed or one of its samples started."""
         waiting = self._unstarted[group]
         while waiting and waiting[-1] not in self._waiting:
             waiting.pop()
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -1,4 +1,4 @@
-"""Collects the samples of one step and delivers each of them once."""
+"""Collects the samples of one step and delivers them to its trainer."""
 
 import collections.abc
 import threading
@@ -13,23 +13,25 @@
 FinishedWork = work.FinishedWork
 
 MAX_PENDING_CHARACTERS = 16 * 1024 * 1024
-"""While so much text waits for the trainer, nothing is started."""
+"""No work is started while the texts pending delivery have this total length."""
 MAX_SILENCE_SECONDS = 120.0
-"""Once a trainer has pulled, a silence of so long stops new work until it is heard again."""
+"""No work is started while a trainer that has pulled before has been silent for longer."""
 ABANDONED_AFTER_SECONDS = 1800.0
-"""The same for a trainer that has not pulled yet; a step may be forgotten after it."""
+"""The same limit for a trainer that has not pulled yet. The step of any trainer that is silent
+for longer may be closed to admit another step."""
 
 
 class StepCollector:
     """
-    The samples of one step of one trainer; thread-safe.
-
-    Nothing is started before the trainer has said what it holds, with the step or by its first
-    pull: a replaced entry knows nothing and would make held samples again. The trainer's own
-    statement is the only truth about what was delivered; a sample stays here until then.
-    A trainer that pulls no more may have gone to another entry, which makes the same samples:
-    new work stops while it is silent.
-    All state is bounded by the samples of the step and by `MAX_PENDING_CHARACTERS`.
+    Collects the samples of one step of one trainer; thread-safe.
+
+    No work is started before the trainer has stated which samples it holds, in its registration
+    or in its first pull: an entry that replaces another does not know what was delivered and
+    would generate held samples again. Only this statement shows that a sample was delivered; the
+    sample is kept until then.
+    A trainer that stops pulling may have switched to another entry, which generates the same
+    samples, so no new work is started while the trainer is silent.
+    All state is bounded by the number of samples of the step and by `MAX_PENDING_CHARACTERS`.
     """
 
     def __init__(
@@ -65,51 +67,51 @@
 
     @property
     def step(self) -> steps.Step:
-        """What is collected."""
+        """The step as its trainer registered it."""
         return self._step
 
     @property
     def digest(self) -> str:
-        """The digest of the step's groups."""
+        """The digest of the step's groups, computed once."""
         return self._digest
 
     @property
     def wanted_attempts(self) -> int:
-        """How many attempts make sense now: those that run and those that could start."""
+        """The number of running attempts plus the samples that could be started now."""
         with self._changed:
             waiting = self._scheduler.waiting if self._can_start() else 0
             return self._scheduler.in_flight + waiting
 
     @property
     def is_complete(self) -> bool:
-        """Whether every sample is whole: held, or waiting to be pulled."""
+        """Whether every sample is held by the trainer or pending delivery."""
         with self._changed:
             return self._inventory.finished_count == self._total
 
     @property
     def is_closed(self) -> bool:
-        """Whether the step has ended here."""
+        """Whether the step was closed at this entry."""
         with self._changed:
             return self._is_closed
 
     @property
     def is_abandoned(self) -> bool:
-        """Whether the trainer was silent for so long that the step may be forgotten."""
+        """Whether the trainer has been silent for so long that the step may be closed."""
         with self._changed:
             return self._measure_silence() > ABANDONED_AFTER_SECONDS
 
     @property
     def hedge_tokens(self) -> int:
-        """The tokens that hedges have made, counted against their budget."""
+        """The number of tokens that hedges have generated, as charged to their budget."""
         with self._changed:
             return self._scheduler.hedge_tokens
 
     def next_work(self) -> work.SampleWork | None:
         """
-        Return what to start next, or nothing if none is due.
+        Return the next work to start, or None if there is none now.
 
-        Once everything has been started, this is a straggler's next attempt: a hedge, or the
-        straggler itself to be moved, whose old attempt is then among the cancellations.
+        Once all samples have been started, this is another attempt at a straggler: either a hedge
+        or a migration, whose old attempts are then among the cancellations.
         """
         with self._changed:
             if not self._can_start():
@@ -119,20 +121,20 @@
                 invariants.require(
                     not self._inventory.is_finished(started.number),
                     "work-is-missing",
-                    f"sample {started.number} is there already",
+                    f"sample {started.number} was started but is already finished",
                 )
             self._check_sample_counts()
             return started
 
     def record_progress(self, work_id: str, text: str, tokens: int, version: int | None) -> None:
-        """Take in a piece of a stream; pieces of work that is not wanted are dropped."""
+        """Add a piece of an attempt's stream; pieces of cancelled work are ignored."""
         with self._changed:
             self._scheduler.record_progress(work_id, text, tokens, version, self._read_now())
 
     def finish_work(
         self, work_id: str, assumption: labels.Assumption | None = None
     ) -> work.FinishedWork:
-        """Take in the end of a whole answer; the first one for a sample wins."""
+        """Finish an attempt whose stream has ended; the first one of a sample is kept."""
         with self._changed:
             sample = self._scheduler.finish(work_id, assumption, self._read_now())
             if sample.is_error():
@@ -144,13 +146,13 @@
             return work.FinishedWork(work.Outcome.KEPT, redundant)
 
     def fail_work(self, work_id: str) -> None:
-        """Take in that work broke off; it is resumed elsewhere where that is possible."""
+        """Handle the failure of an attempt; its sample is resumed or restarted later."""
         with self._changed:
             self._scheduler.fail(work_id, self._read_now())
             self._check_sample_counts()
 
     def record_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
-        """Take in what the trainer said when it registered the step; work may start now."""
+        """Add the samples that the trainer listed in a repeated registration; work may start."""
         with self._changed:
             if self._is_closed:
                 return
@@ -158,17 +160,17 @@
             self._set_held(self._inventory.held.union(numbers))
 
     def record_version(self, version: int) -> None:
-        """Take in the policy version of the trainer, which was just heard."""
+        """Record contact with the trainer and the policy version that it stated."""
         with self._changed:
             self._record_contact(version)
 
     def take_cancellations(self) -> list[str]:
-        """Return work that is of no more use, each once; cancel it at its engines."""
+        """Return and clear the IDs of work that must be cancelled at its engines."""
         with self._changed:
             return self._scheduler.take_cancellations()
 
     def close(self) -> None:
-        """End the step: cancel its work, refuse its pulls and forget its texts."""
+        """Close the step: cancel its work, refuse its pulls and discard its texts."""
         with self._changed:
             self._is_closed = True
             self._scheduler.cancel_all()
@@ -179,10 +181,10 @@
         self, pull: pulls.Pull, seconds: float
     ) -> expression.Result[pulls.PullAnswer, pulls.PullRefusal]:
         """
-        Return samples that the trainer does not hold, waiting a while for the first.
+        Return samples that the trainer does not hold, waiting up to `seconds` for the first.
 
-        A later pull ends an earlier one that still waits: only one may be answered with
-        samples, or a trainer that gave up on the first would be sent them twice.
+        A later pull ends an earlier one that still waits with a refusal. If both were answered,
+        a trainer that gave up on the first would be sent the same samples twice.
         """
         deadline = clock.start_deadline(seconds)
         with self._changed:
@@ -232,12 +234,12 @@
             invariants.require(
                 sample.number not in pull.held,
                 "pull-excludes-held",
-                f"sample {sample.number} is held",
+                f"sample {sample.number} is offered but already held",
             )
             invariants.require(
                 sample.oldest_version >= oldest_version,
                 "pull-is-fresh",
-                f"sample {sample.number} has {sample.label}, too old for {self._version}",
+                f"sample {sample.number} is stale at version {self._version}: {sample.label}",
             )
         complete = len(pull.held) + len(samples) == self._total
         return pulls.PullAnswer(self._step.step, self._version, complete, samples)
@@ -261,7 +263,7 @@
         return max(0, self._version - self._staleness_bound)
 
     def _raise_version(self, version: int) -> None:
-        """Drop what the trainer's version made stale; a version that comes late lowers nothing."""
+        """Record the trainer's version and discard stale samples; ignore an older version."""
         if version <= self._version:
             return
         self._version = version
@@ -274,7 +276,7 @@
             self._scheduler.restart_sample(number, now)
 
     def _set_held(self, numbers: frozenset[int]) -> None:
-        """Take the trainer's word: stop making what it has, make again what it lost."""
+        """Update the held samples: stop work on the added ones, queue the removed ones again."""
         self._is_started = True
         added, gone = self._inventory.update_held(numbers)
         for number in added:
@@ -284,7 +286,7 @@
         self._check_sample_counts()
 
     def _check_sample_counts(self) -> None:
-        """Check that each sample is in one place: there, being made, or waiting."""
+        """Require that each sample is counted once: as finished, running or waiting."""
         if self._is_closed:
             return
         places = (self._inventory.finished_count, self._scheduler.running, self._scheduler.waiting)
--- a/libs/samples/oleander_samples/hedging.py
+++ b/libs/samples/oleander_samples/hedging.py
@@ -1,4 +1,4 @@
-"""Which samples are stragglers, and what running them a second time may cost."""
+"""Detection of stragglers, and the token budget for hedging them."""
 
 import collections.abc
 import dataclasses
@@ -6,45 +6,47 @@
 from oleander_samples import predictions, work
 
 _STRAGGLER_FACTOR = 2.0
-"""A straggler needs this times what another engine would."""
+"""An attempt is a straggler if its rate, its remaining time or its wait for the first token is
+worse than usual by this factor."""
 _RESTART_COST_TOKENS = 32
-"""What starting elsewhere costs, in tokens at the typical rate."""
+"""The cost of resuming on another engine, as a number of generated tokens."""
 _MIN_GAIN_SECONDS = 0.5
-"""By so much sooner a sample has to end on a faster engine to be moved there: its text is read
-again, and its length is predicted."""
+"""The least time that resuming on a faster engine must save: the move makes that engine process
+the text again, and the saving is computed from a predicted length."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StragglerPolicy:
-    """What is done about stragglers."""
+    """When an attempt counts as a straggler, and what is done about it."""
 
     hedge_percent: int
-    """The tokens that hedges may make, in percent of the step's."""
+    """The tokens that hedges may generate, in percent of the step's expected tokens."""
     allows_migration: bool = True
-    """Whether one that may not be hedged is cancelled and resumed on another engine."""
+    """Whether a straggler that can't be hedged is cancelled and resumed on another engine."""
     min_finished_percent: int = 75
-    """Nothing is a straggler before so much of the step is whole."""
+    """The percentage of samples that must be finished before stragglers are looked for."""
     min_wait_seconds: float = 0.0
-    """How long an attempt may wait for its first token before it can be a straggler."""
+    """The least wait for a first token after which an attempt can be a straggler."""
     max_backoff_seconds: float = 5.0
-    """The longest pause before a sample that fails at once is tried again."""
+    """The longest delay before retrying a sample that fails without a token."""
     scan_interval_seconds: float = 1.0
-    """How long after one look for stragglers the next follows."""
+    """The least time between two scans for stragglers."""
 
     @property
     def is_active(self) -> bool:
-        """Whether anything is done at all."""
+        """Whether stragglers are hedged or migrated at all."""
         return self.allows_migration or self.hedge_percent > 0
 
 
 class HedgePlanner:
     """
-    Finds stragglers and keeps to the budget of hedges.
+    Finds stragglers and enforces the token budget of hedges.
 
-    Slowness makes a straggler, not length: a long text would take as long anywhere, and of two
-    tries the shorter would win, which would make a step's samples shorter than its policy does.
-    The budget is in tokens that hedges make, as a part of the step's expected tokens; what running
-    hedges are expected to make is reserved.
+    An attempt is a straggler if its engine is slow, not if its text is long. A long text takes as
+    long on any engine, and if it were raced, the shorter of two texts would win, which would
+    bias the step towards shorter samples than its policy generates.
+    The budget limits the tokens that hedges generate to a percentage of the step's expected
+    tokens. The tokens that running hedges are expected to generate are reserved.
     """
 
     def __init__(
@@ -64,21 +66,25 @@
 
     @property
     def token_budget(self) -> float:
-        """The tokens that hedges may make."""
+        """The number of tokens that hedges of this step may generate."""
         return self._lengths.mean * self._total * self._policy.hedge_percent / 100
 
     @property
     def spent_tokens(self) -> int:
-        """The tokens that hedges made while they raced another attempt."""
+        """The number of tokens that hedges generated while they raced another attempt."""
         return self._spent_tokens
 
     @property
     def is_overspent(self) -> bool:
-        """Whether hedges made more than they may."""
+        """Whether hedges have generated more tokens than the budget."""
         return self._spent_tokens > self.token_budget
 
     def is_scan_due(self, finished_count: int, now: float) -> bool:
-        """Tell whether to look for stragglers: the step is nearly whole, not looked lately."""
+        """
+        Return whether to scan for stragglers now; if so, schedule the next scan.
+
+        A scan is due once enough samples are finished and the scan interval has passed.
+        """
         least = self._total * self._policy.min_finished_percent / 100
         if not self._policy.is_active or finished_count < least:
             return False
@@ -94,10 +100,10 @@
         free_slot_rate: float | None = None,
     ) -> list[int]:
         """
-        Return the samples that another engine would finish far sooner, the latest first.
+        Return the numbers of samples that another engine would finish far sooner, latest first.
 
-        Where a sample has two attempts, both must be late. The rate is that of the fastest engine
-        with a spare place, in tokens a second; nothing where it is unknown.
+        If a sample has two attempts, both must be late. `free_slot_rate` is the rate of the
+        fastest engine with a free slot, in tokens per second; None if unknown.
         """
         typical = self._rates.typical_rate
         if typical is None:
@@ -114,7 +120,7 @@
         return sorted(late.keys() - in_time, key=lambda number: (-late[number], number))
 
     def find_slower(self, first: work.Attempt, second: work.Attempt, now: float) -> work.Attempt:
-        """Return which of two attempts at one sample is expected to end later."""
+        """Return the one of two attempts at the same sample that is expected to end later."""
         typical = self._rates.typical_rate or 1.0
         seconds = [
             self.predict_remaining(attempt)
@@ -124,36 +130,36 @@
         return first if seconds[0] > seconds[1] else second
 
     def predict_remaining(self, attempt: work.Attempt) -> int:
-        """Return how many tokens an attempt will still make."""
+        """Return the predicted number of tokens that an attempt has yet to generate."""
         total = self._lengths.predict_total(attempt.work.group, attempt.tokens)
         return total - attempt.tokens
 
     def predict_hedge_tokens(self, group: int, resumed_tokens: int) -> int:
-        """Return how many tokens a hedge would make."""
+        """Return the predicted number of tokens that a hedge would generate."""
         return self._lengths.predict_total(group, resumed_tokens) - resumed_tokens
 
     def has_budget_for(self, tokens: int) -> bool:
-        """Tell whether the budget has room for a hedge."""
+        """Return whether the budget allows a hedge of this many tokens."""
         return self._spent_tokens + sum(self._reserved.values()) + tokens <= self.token_budget
 
     def reserve(self, work_id: str, tokens: int) -> None:
-        """Count a hedge that starts."""
+        """Reserve the expected tokens of a hedge that starts."""
         self._reserved[work_id] = tokens
 
     def record_tokens(self, work_id: str, tokens: int) -> None:
-        """Count what a hedge made; other work costs nothing."""
+        """Charge generated tokens to the budget if the work is a hedge with a reservation."""
         if work_id not in self._reserved or tokens < 0:
             return
         self._spent_tokens += tokens
         self._reserved[work_id] = max(0, self._reserved[work_id] - tokens)
 
     def release(self, work_id: str) -> None:
-        """Forget a hedge that ended or that has no rival any more."""
+        """Release the reservation of a hedge that ended or no longer races another attempt."""
         self._reserved.pop(work_id, None)
 
     @property
     def _max_wait_seconds(self) -> float:
-        """The seconds for which work may wait for its first token and be no straggler."""
+        """The longest wait for a first token, in seconds, that does not make a straggler."""
         return max(
             self._policy.min_wait_seconds, _STRAGGLER_FACTOR * self._rates.typical_wait_seconds
         )
@@ -162,10 +168,10 @@
         self, attempt: work.Attempt, typical: float, free_slot_rate: float | None, now: float
     ) -> float | None:
         """
-        Return the seconds that an attempt still needs, if that is far over what others do.
+        Return the seconds that a straggler still needs, or None if the attempt is not late.
 
-        One that has made nothing yet waits for a place, as it would elsewhere; only when it waits
-        far longer than others did it counts as stuck.
+        An attempt without a token is presumably waiting for a slot, as it would on any engine. It
+        is late only once it has waited for far longer than the others did.
         """
         if not attempt.generated_tokens and attempt.measure_elapsed(now) < self._max_wait_seconds:
             return None
--- a/libs/samples/oleander_samples/held.py
+++ b/libs/samples/oleander_samples/held.py
@@ -1,4 +1,4 @@
-"""Compact sets of sample numbers, such as `0-5,9`."""
+"""The compact notation for sets of sample numbers, such as `0-5,9`."""
 
 import collections.abc
 import re
@@ -14,29 +14,30 @@
 
 def parse_numbers(text: str, total: int) -> expression.Result[frozenset[int], findings.Findings]:
     """
-    Return the numbers that a text names.
+    Return the sample numbers of a text, all of which must be below `total`.
 
-    Parts must ascend and not overlap, so the work is bounded by the total, whatever the text.
+    Numbers and ranges must ascend without overlap. Overlapping ranges could make a short text
+    expand to far more than `total` numbers.
     """
     numbers: set[int] = set()
     lowest = 0
     for part in text.split(",") if text else ():
         match = _PART.fullmatch(part)
         if match is None:
-            return _reject(part, "is no number or range", "write for example 0-5,9")
+            return _reject(part, "is not a number or range", "write for example 0-5,9")
         first = int(match[1])
         last = int(match[2] or first)
         if first < lowest or last < first:
-            return _reject(part, "does not ascend", "sort the numbers and merge neighbours")
+            return _reject(part, "is not in ascending order", "sort the numbers, without overlaps")
         if last >= total:
-            return _reject(part, f"is outside 0-{total - 1}", "name only this step's samples")
+            return _reject(part, f"is outside 0-{total - 1}", "list only samples of this step")
         numbers.update(range(first, last + 1))
         lowest = last + 1
     return expression.Ok(frozenset(numbers))
 
 
 def format_numbers(numbers: collections.abc.Iterable[int]) -> str:
-    """Return the compact text of a set of numbers."""
+    """Return the compact notation of a set of sample numbers."""
     parts: list[list[int]] = []
     for number in sorted(numbers):
         if parts and number == parts[-1][1] + 1:
--- a/libs/samples/oleander_samples/inventory.py
+++ b/libs/samples/oleander_samples/inventory.py
@@ -1,18 +1,19 @@
-"""The whole samples of a step: those that wait for the trainer and those that it has."""
+"""The finished samples of a step: those pending delivery and those that the trainer holds."""
 
 from oleander_base import invariants
 from oleander_samples import pulls, steps
 
 MAX_ANSWER_CHARACTERS = 4 * 1024 * 1024
-"""An answer that has reached this ends; it always has one sample, if there is one."""
+"""No sample is added to an answer whose texts have reached this length; an answer holds at least
+one sample if any is pending."""
 
 
 class Inventory:
     """
-    Whole samples by number; bounded by the samples of the step.
+    Finished samples by number; bounded by the number of samples of the step.
 
-    A sample leaves only when the trainer says that it holds it, or when it is stale. An answer
-    that was sent is no reason: it may have been lost.
+    A sample is removed only when the trainer states that it holds it, or when it is stale. It is
+    not removed after it was sent, because the answer may have been lost.
     """
 
     def __init__(self, total: int) -> None:
@@ -24,35 +25,39 @@
 
     @property
     def held(self) -> frozenset[int]:
-        """What the trainer said it has, last time."""
+        """The sample numbers that the trainer last said it holds."""
         return self._held
 
     @property
     def pending_characters(self) -> int:
-        """The length of all texts that wait for the trainer."""
+        """The total length of the texts that the trainer does not hold yet."""
         return self._pending_characters
 
     @property
     def finished_count(self) -> int:
-        """How many samples need no more work."""
+        """The number of samples that are held by the trainer or pending delivery."""
         return len(self._held) + len(self._pending)
 
     def is_finished(self, number: int) -> bool:
-        """Tell whether a sample needs no more work."""
+        """Return whether a sample is held by the trainer or pending delivery."""
         return number in self._held or number in self._pending
 
     def add(self, sample: steps.Sample) -> None:
-        """Take in a whole sample that is not there yet."""
+        """Add a sample, which must be neither held by the trainer nor pending delivery."""
         invariants.require(
             not self.is_finished(sample.number),
             "sample-kept-once",
-            f"sample {sample.number} is there already",
+            f"sample {sample.number} is already finished",
         )
         self._pending[sample.number] = sample
         self._pending_characters += len(sample.text)
 
     def update_held(self, numbers: frozenset[int]) -> tuple[frozenset[int], frozenset[int]]:
-        """Take the trainer's word; return the numbers that are newly held, and held no more."""
+        """
+        Replace the set of samples that the trainer holds.
+
+        Return the numbers that were added to the set and those that were removed from it.
+        """
         added = numbers - self._held
         gone = self._held - numbers
         self._held = numbers
@@ -61,7 +66,7 @@
         return added, gone
 
     def drop_stale(self, oldest_version: int) -> list[int]:
-        """Drop what is older than the bound now; return the numbers."""
+        """Remove pending samples with tokens older than a version; return their numbers."""
         stale = [
             sample.number
             for sample in self._pending.values()
@@ -72,7 +77,7 @@
         return stale
 
     def choose_pending(self, max_samples: int) -> tuple[steps.Sample, ...]:
-        """Return samples for the trainer, those soonest stale first; they stay here."""
+        """Return pending samples for an answer, oldest weights first, without removing them."""
         chosen = []
         characters = 0
         waiting = sorted(
@@ -86,13 +91,13 @@
         return tuple(chosen)
 
     def record_offered(self, answer: pulls.PullAnswer) -> int:
-        """Remember what was sent; return how many of the samples were sent for the first time."""
+        """Record the samples of an answer; return how many were not in an earlier answer."""
         before = len(self._offered)
         self._offered.update(sample.number for sample in answer.samples)
         return len(self._offered) - before
 
     def clear(self) -> None:
-        """Forget the texts."""
+        """Remove all pending samples."""
         self._pending.clear()
         self._pending_characters = 0
 
--- a/libs/samples/oleander_samples/labels.py
+++ b/libs/samples/oleander_samples/labels.py
@@ -1,4 +1,4 @@
-"""Which weight versions made a text, as the engines themselves stated it."""
+"""Labels: the weight versions that generated each part of a text, as stated by the engines."""
 
 import dataclasses
 import enum
@@ -12,21 +12,21 @@
 
 
 class LabelFault(enum.Enum):
-    """Why a label can't be known."""
+    """Why a label can't be determined."""
 
     UNSTATED = "unstated"
-    """An engine did not say what made some tokens, and nobody else knows."""
+    """Tokens lack a version, and the engine's version was not read before and after them."""
     UNSETTLED = "unsettled"
-    """The engine's version changed, or may have, while it made unstated tokens."""
+    """Tokens lack a version, and the engine's version may have changed while it made them."""
     CONTRADICTION = "contradiction"
-    """Two statements about the same tokens differ, or one makes no sense."""
+    """The stated versions disagree with those read from the engine, or a value is negative."""
     EMPTY = "empty"
-    """No tokens were stated at all."""
+    """The text has no tokens."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LabelError:
-    """A label that can't be known; what it belongs to must be thrown away."""
+    """The reason why a label can't be determined; its text must be discarded."""
 
     fault: LabelFault
     detail: str
@@ -34,20 +34,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Assumption:
-    """What was read from an engine around a generation of which it stated no version."""
+    """An engine's weight version as read before and after a generation; None where unknown."""
 
     before: int | None
     after: int | None
     has_pending_order: bool
-    """Whether an order to change weights may have been under way in between."""
+    """Whether an order to change weights may have been in progress between the two readings."""
 
 
 class LabelBuilder:
     """
-    Collects the pieces of one generation, after those that it was resumed from.
+    Builds the label of a text from its stream and from the label that it was resumed from.
 
-    An assumption settles only pieces whose version the engine did not state, and only when it
-    can't be wrong: both readings agree, no order was open, and no stated piece says otherwise.
+    An assumption supplies the version only of pieces for which the engine stated none, and only
+    if it can't be wrong: both readings agree, no weight change was in progress, and no piece of
+    this stream states another version.
     """
 
     def __init__(self, resumed: tuple[steps.LabelPart, ...] = ()) -> None:
@@ -58,21 +59,21 @@
 
     @property
     def oldest_version(self) -> int | None:
-        """The oldest version stated so far."""
+        """The oldest version stated so far; None if none was stated."""
         known = [part.version for part in self._resumed]
         known += [version for version, _ in self._pieces if version is not None]
         return min(known, default=None)
 
     @property
     def outdated_tokens(self) -> int:
-        """How many tokens older weights made than the newest stated so far; 0 for one version."""
+        """The number of tokens of older versions than the newest one stated so far."""
         known = [(part.version, part.tokens) for part in self._resumed]
         known += [(version, made) for version, made in self._pieces if version is not None]
         newest = max((version for version, _ in known), default=0)
         return sum(made for version, made in known if version < newest)
 
     def add(self, version: int | None, tokens: int) -> None:
-        """Add tokens; neighbours of one version become one piece."""
+        """Add the tokens of a piece, merging it with a preceding piece of the same version."""
         if tokens < 0 or (version is not None and version < 0):
             self._is_invalid = True
             return
@@ -85,13 +86,13 @@
     def set_assumption(
         self, before: int | None, after: int | None, has_pending_order: bool
     ) -> None:
-        """State what was read from the engine before and after this generation."""
+        """Set the versions that were read from the engine before and after this generation."""
         self._assumption = Assumption(before, after, has_pending_order)
 
     def build(self) -> expression.Result[tuple[steps.LabelPart, ...], LabelError]:
-        """Return the label, or why it can't be known; it is never guessed."""
+        """Return the label, or why it can't be determined; it is never guessed."""
         if self._is_invalid:
-            return _reject(LabelFault.CONTRADICTION, "negative tokens or version")
+            return _reject(LabelFault.CONTRADICTION, "a token count or a version is negative")
         settled = self._resolve_unstated()
         if settled.is_error():
             return expression.Error(settled.error)
@@ -99,22 +100,26 @@
         for version, tokens in self._pieces:
             _append_merged(parts, settled.ok if version is None else version, tokens)
         if not parts:
-            return _reject(LabelFault.EMPTY, "no tokens were stated")
+            return _reject(LabelFault.EMPTY, "the text has no tokens")
         return expression.Ok(tuple(parts))
 
     def _resolve_unstated(self) -> expression.Result[int, LabelError]:
-        """Return the one version that can have made the unstated pieces."""
+        """
+        Return the version of all pieces for which the engine stated none.
+
+        The result is `_NO_UNSTATED_VERSION` if there are no such pieces.
+        """
         versions = {version for version, _ in self._pieces}
         if None not in versions:
             return expression.Ok(_NO_UNSTATED_VERSION)
         assumption = self._assumption
         if assumption is None or assumption.before is None or assumption.after is None:
-            return _reject(LabelFault.UNSTATED, "tokens without a stated version")
+            return _reject(LabelFault.UNSTATED, "tokens without a version")
         if assumption.has_pending_order or assumption.before != assumption.after:
             return _reject(LabelFault.UNSETTLED, str(assumption))
         stated = versions - {None, assumption.before}
         if stated:
-            detail = f"read {assumption.before}, but the stream said {stated}"
+            detail = f"the engine had version {assumption.before}, but the stream states {stated}"
             return _reject(LabelFault.CONTRADICTION, detail)
         return expression.Ok(assumption.before)
 
--- a/libs/samples/oleander_samples/predictions.py
+++ b/libs/samples/oleander_samples/predictions.py
@@ -1,19 +1,23 @@
-"""How long samples will be and how fast they are made, learned while a step runs."""
+"""Predictions of sample lengths and generation rates, learned while a step runs."""
 
 import bisect
 import collections
 
 _MAX_STEP_LENGTHS = 512
+"""Window size, in finished samples, for the lengths of a step."""
 _MAX_GROUP_LENGTHS = 32
+"""Window size, in finished samples, for the lengths of a group."""
 _MAX_RATES = 256
+"""Window size, in finished attempts, for rates and for waits."""
 _STEP_WEIGHT = 4
-"""The step's lengths count as much as so many finished samples of the group."""
+"""The weight of the step's median length, in finished samples of the group."""
 _UNSEEN_LENGTH_FACTOR = 2
-"""A sample longer than all seen is taken to reach this times its present length."""
+"""A sample longer than all finished ones is predicted to reach this multiple of its present
+length."""
 
 
 class SlidingWindow:
-    """The latest values, sorted; beyond the bound the oldest is forgotten."""
+    """The most recent values in sorted order; beyond the capacity the oldest is evicted."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -22,11 +26,11 @@
 
     @property
     def count(self) -> int:
-        """How many values are known."""
+        """The number of values in the window."""
         return len(self._sorted)
 
     def add(self, value: float) -> None:
-        """Take in a value."""
+        """Add a value, evicting the oldest one if the window is full."""
         if len(self._recent) >= self._capacity:
             oldest = self._recent.popleft()
             del self._sorted[bisect.bisect_left(self._sorted, oldest)]
@@ -34,17 +38,17 @@
         bisect.insort(self._sorted, value)
 
     def find_median_above(self, floor: float) -> float | None:
-        """Return the median of the values above a floor, if there are any."""
+        """Return the median of the values greater than `floor`, or None if there are none."""
         first = bisect.bisect_right(self._sorted, floor)
         above = len(self._sorted) - first
         return self._sorted[first + above // 2] if above else None
 
 
 class LengthModel:
-    """Predicts the tokens of a sample from those of its group, or else of its step."""
+    """Predicts a sample's length in tokens from the finished samples of its group and step."""
 
     def __init__(self, max_tokens: list[int], expected_tokens: list[int] | None = None) -> None:
-        """Take the bound of each group and, where there are guesses, those (0 for none)."""
+        """Take each group's maximum length and the trainer's estimate (0 for no estimate)."""
         self._max_tokens = max_tokens
         self._expected_tokens = expected_tokens or [0] * len(max_tokens)
         self._step = SlidingWindow(_MAX_STEP_LENGTHS)
@@ -54,18 +58,23 @@
 
     @property
     def mean(self) -> float:
-        """The mean tokens of the samples seen; 0 before the first."""
+        """The mean length of all finished samples; 0 before the first."""
         return self._total / self._count if self._count else 0.0
 
     def record_length(self, group: int, tokens: int) -> None:
-        """Learn the length of a whole sample."""
+        """Record the length of a finished sample."""
         self._total += tokens
         self._count += 1
         self._step.add(tokens)
         self._groups.setdefault(group, SlidingWindow(_MAX_GROUP_LENGTHS)).add(tokens)
 
     def predict_unstarted(self, group: int) -> int:
-        """Return the tokens of a sample not yet begun; the most where nothing is known."""
+        """
+        Return the predicted length of a sample that is not started yet.
+
+        Before a sample of its group has finished this is the trainer's estimate, or the group's
+        maximum if there is no estimate.
+        """
         if group not in self._groups and self._expected_tokens[group]:
             return min(self._max_tokens[group], self._expected_tokens[group])
         if group not in self._groups:
@@ -73,7 +82,7 @@
         return self.predict_total(group, 0)
 
     def predict_total(self, group: int, generated: int) -> int:
-        """Return the tokens that a sample will have, given what is made of it."""
+        """Return the predicted length of a sample of which `generated` tokens exist."""
         most = self._max_tokens[group]
         if group not in self._groups and generated < self._expected_tokens[group]:
             return min(most, self._expected_tokens[group])
@@ -95,7 +104,7 @@
 
 
 class RateModel:
-    """How long work usually waits for its first token, and how fast it is made from then on."""
+    """The typical time to the first token of an attempt and its typical rate after that."""
 
     def __init__(self) -> None:
         self._rates = SlidingWindow(_MAX_RATES)
@@ -103,16 +112,16 @@
 
     @property
     def typical_rate(self) -> float | None:
-        """The median rate of finished work, if any has finished."""
+        """The median rate of finished work in tokens per second; None before any has finished."""
         return self._rates.find_median_above(0.0)
 
     @property
     def typical_wait_seconds(self) -> float:
-        """The median seconds until the first token of finished work; 0 before any has finished."""
+        """The median time to the first token of finished work; 0 before any has finished."""
         return self._waits.find_median_above(-1.0) or 0.0
 
     def record_work(self, rate: float | None, wait_seconds: float | None) -> None:
-        """Learn from finished work what it tells."""
+        """Record the rate and the time to the first token of finished work, if known."""
         if rate:
             self._rates.add(rate)
         if wait_seconds is not None:
--- a/libs/samples/oleander_samples/pulls.py
+++ b/libs/samples/oleander_samples/pulls.py
@@ -1,4 +1,4 @@
-"""What a trainer asks for and what it is answered."""
+"""The requests with which trainers pull samples, and the answers to them."""
 
 import base64
 import dataclasses
@@ -12,43 +12,45 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pull:
-    """A trainer's statement of what it has, and its question for more."""
+    """A trainer's request for samples, which states the samples that it already holds."""
 
     incarnation: int
     version: int
-    """The trainer's policy version; it is not raised until the pull has ended."""
+    """The trainer's policy version, which the trainer does not raise before the pull ends."""
     held: frozenset[int]
+    """The numbers of the samples that the trainer already has."""
     wait_ms: int
-    """How long the trainer is willing to wait for the first sample."""
+    """How long the trainer waits for the first sample."""
     max_samples: int
+    """The maximum number of samples in the answer."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PullAnswer:
-    """Samples that the trainer does not have, all of them fresh."""
+    """Samples that the trainer does not hold and that are not stale."""
 
     step: int
     version: int
-    """The version that their staleness was checked against."""
+    """The policy version against which the samples' staleness was checked."""
     complete: bool
-    """Whether the trainer, with these, has every sample of the step."""
+    """Whether the trainer has every sample of the step once it has received these."""
     samples: tuple[steps.Sample, ...]
 
 
 class RefusalReason(enum.Enum):
-    """Why a pull is not answered with samples."""
+    """Why a pull is refused."""
 
     SUPERSEDED = "superseded"
-    """A later pull, or a newer incarnation of the trainer, has taken its place."""
+    """A later pull or a newer incarnation of the trainer replaced it."""
     STEP_UNKNOWN = "step-unknown"
-    """The step is not collected here (any more): register it again."""
+    """This entry does not collect the step; the trainer must register it again."""
     BAD_HELD = "bad-held"
-    """The trainer says it has samples that the step does not have."""
+    """The trainer claims to hold a sample number that the step does not have."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PullRefusal:
-    """A pull that got no samples."""
+    """The reason why a pull is refused, with details for the caller."""
 
     reason: RefusalReason
     found: findings.Findings = findings.Findings(())
@@ -56,14 +58,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EncodedAnswer:
-    """A body and the value of its `Content-Digest` header."""
+    """An answer's body and the value of its `Content-Digest` header."""
 
     body: bytes
     digest: str
 
 
 def encode_answer(answer: PullAnswer) -> EncodedAnswer:
-    """Return the JSON of an answer; the digest lets the trainer notice one that was cut."""
+    """Encode an answer as JSON, with a digest by which the trainer detects a truncated body."""
     content = {
         "step": answer.step,
         "version": answer.version,
--- a/libs/samples/oleander_samples/readers.py
+++ b/libs/samples/oleander_samples/readers.py
@@ -1,4 +1,4 @@
-"""Reads what trainers send; all faults of a body are reported together, with their places."""
+"""Parses the requests of trainers; all problems of a body are reported together."""
 
 import re
 
@@ -8,17 +8,23 @@
 from oleander_samples import fields, held, pulls, steps
 
 MAX_STEP_BYTES = 16 * 1024 * 1024
+"""Maximum size of the body that registers a step."""
 MAX_PULL_BYTES = 256 * 1024
+"""Maximum size of the body of a pull."""
 MAX_GROUPS = 4096
+"""Maximum number of groups in a step."""
 MAX_SAMPLES = 2 * 8192
-"""Samples of one step."""
+"""Maximum number of samples in a step."""
 MAX_PROMPT_BYTES = 256 * 1024
+"""Maximum size of a group's prompt in UTF-8."""
 MAX_PREFIX_BYTES = 64 * 1024
+"""Maximum size of a group's prefix key in UTF-8."""
 MAX_TOKENS = 128 * 1024
-"""Tokens of one sample."""
+"""Largest token limit that a group may set for its samples."""
 MAX_WAIT_MS = 60_000
+"""Longest wait for the first sample that a pull may ask for."""
 MAX_PULLED_SAMPLES = 1024
-"""Samples of one answer."""
+"""Maximum number of samples in one answer."""
 
 _STEP_TEXT = re.compile(r"\d{1,15}", re.ASCII)
 
@@ -26,7 +32,7 @@
 def read_step(
     customer: str, trainer: str, step_text: str, body: bytes
 ) -> expression.Result[steps.Step, findings.Findings]:
-    """Return the step that a trainer registers."""
+    """Parse the registration of a step; `step_text` is the step number from the path."""
     found = fields.FindingList()
     number = _read_step_number(step_text, found)
     content = fields.parse_object(body, MAX_STEP_BYTES)
@@ -51,7 +57,7 @@
 
 
 def read_pull(body: bytes) -> expression.Result[pulls.Pull, findings.Findings]:
-    """Return a pull; whether its numbers belong to the step is for the collector to check."""
+    """Parse a pull; the collector checks later whether the held numbers belong to the step."""
     found = fields.FindingList()
     content = fields.parse_object(body, MAX_PULL_BYTES)
     if content.is_error():
@@ -71,7 +77,7 @@
 
 def _read_step_number(text: str, found: fields.FindingList) -> int:
     if _STEP_TEXT.fullmatch(text) is None:
-        found.add("step", "is no whole number of at most 15 digits")
+        found.add("step", "is not an integer of at most 15 digits")
         return 0
     return int(text)
 
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -1,4 +1,4 @@
-"""The steps that are collected here: one for each trainer, its newest."""
+"""Registry of the steps that this entry collects: the newest step of each trainer."""
 
 import collections
 import collections.abc
@@ -13,24 +13,25 @@
 from oleander_samples import collector, scheduler, steps
 
 MAX_TRAINERS = 256
-"""Trainers whose newest incarnation is remembered."""
+"""Maximum number of trainers whose newest incarnation and step are remembered."""
 MAX_OPEN_STEPS = 32
+"""Maximum number of steps that are collected at the same time."""
 
 
 class RefusalReason(enum.Enum):
-    """Why a step is not taken in."""
+    """Why the registration of a step is refused."""
 
     SUPERSEDED = "superseded"
-    """A newer incarnation of the trainer, or a later step of this one, was heard."""
+    """A newer incarnation of the trainer, or a later step of this incarnation, is known."""
     CONFLICT = "conflict"
-    """The step was registered with other groups."""
+    """The step is already registered with different groups."""
     TOO_MANY = "too-many"
-    """No room: register it again later, or at another entry."""
+    """Too many steps are open; the trainer should retry later or at another entry."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StepRefusal:
-    """A step that was not taken in; nothing has changed."""
+    """A refused registration; it has changed nothing in the registry."""
 
     reason: RefusalReason
     detail: str
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _TrainerState:
-    """What is known of a trainer."""
+    """The newest incarnation and step of a trainer, and the step's collector while it is open."""
 
     incarnation: int
     step: int = -1
@@ -47,13 +48,14 @@
 
 class StepRegistry:
     """
-    The collectors of this entry; thread-safe and bounded.
-
-    A trainer has one step at a time: a higher step or incarnation closes and forgets the older.
-    When there are too many steps, those whose trainers were silent for long are forgotten, then
-    new ones are refused. When there are too many trainers, one without a step is forgotten: an
-    older incarnation of it would be served here again, until the newer speaks. That does no harm
-    to what either holds, since each is answered by its own statement; it costs work.
+    The step collectors of this entry; thread-safe and bounded.
+
+    A trainer has one open step: registering a higher step or incarnation closes the older one.
+    At `max_open_steps`, a step whose trainer has been silent for long is closed to admit a new
+    one; without such a step the new one is refused. At `max_trainers`, the least recently updated
+    trainer without an open step is evicted. An older incarnation of an evicted trainer is served
+    again until the newer one is heard. This wastes work but delivers no sample twice, because
+    each answer depends only on the samples that the pulling incarnation says it holds.
     """
 
     def __init__(
@@ -63,7 +65,9 @@
         max_open_steps: int = MAX_OPEN_STEPS,
     ) -> None:
         invariants.require(
-            max_open_steps < max_trainers, "registry-bounds", "one must be idle at the bound"
+            max_open_steps < max_trainers,
+            "registry-bounds",
+            "the limit of open steps must be below the limit of trainers",
         )
         self._read_now = read_now
         self._max_trainers = max_trainers
@@ -76,14 +80,18 @@
 
     @property
     def collectors(self) -> tuple[collector.StepCollector, ...]:
-        """The steps that are open."""
+        """The collectors of all open steps."""
         with self._lock:
             return tuple(self._list_open())
 
     def register(
         self, step: steps.Step, terms: contract.TrainerTerms
     ) -> expression.Result[collector.StepCollector, StepRefusal]:
-        """Register a step; the same one again changes nothing but what its trainer says."""
+        """
+        Register a step and return its collector, or the reason why it is refused.
+
+        A repeated registration only updates the trainer's version and held samples.
+        """
         with self._lock:
             trainer = self._trainers.get((step.customer, step.trainer))
             if trainer is None or step.incarnation > trainer.incarnation:
@@ -97,7 +105,7 @@
             return _update_registered(trainer.open_step, step)
 
     def find(self, customer: str, trainer: str, step: int) -> collector.StepCollector | None:
-        """Return the collector of a step that is open."""
+        """Return the collector of a step, or None if the step is not open."""
         with self._lock:
             known = self._trainers.get((customer, trainer))
             if known is None or known.step != step:
@@ -105,7 +113,7 @@
             return known.open_step
 
     def record_incarnation(self, customer: str, trainer: str, incarnation: int) -> None:
-        """Take in that an incarnation of a trainer was heard, here or elsewhere."""
+        """Record an incarnation seen at any entry; a newer one closes the trainer's step."""
         with self._lock:
             known = self._trainers.get((customer, trainer))
             if known is not None and incarnation <= known.incarnation:
@@ -113,7 +121,7 @@
             self._store_trainer((customer, trainer), _TrainerState(incarnation))
 
     def delete(self, customer: str, trainer: str, step: int) -> bool:
-        """End a step; return whether it was open."""
+        """Close a step; return whether it was open."""
         with self._lock:
             known = self._trainers.get((customer, trainer))
             if known is None or known.step != step or known.open_step is None:
@@ -122,7 +130,7 @@
             return True
 
     def take_cancellations(self) -> list[str]:
-        """Return work of all steps, closed ones too, that is to be cancelled, each once."""
+        """Return and clear the IDs of work to cancel, of open and of closed steps."""
         with self._lock:
             for item in self._list_open():
                 self._cancellations.extend(item.take_cancellations())
@@ -131,7 +139,7 @@
             return taken
 
     def close(self) -> None:
-        """End all steps."""
+        """Close all steps."""
         with self._lock:
             for trainer in self._trainers.values():
                 self._close(trainer)
@@ -148,6 +156,7 @@
         return expression.Ok(opened)
 
     def _make_room(self, key: tuple[str, str]) -> bool:
+        """Close an abandoned step if too many are open; return whether one more may open."""
         others = [
             item
             for name, item in self._trainers.items()
@@ -162,7 +171,11 @@
         return False
 
     def _store_trainer(self, key: tuple[str, str], trainer: _TrainerState) -> None:
-        """Put a trainer at the end of the table; the first without a step makes room for it."""
+        """
+        Store a trainer's state as the most recently updated one.
+
+        If the table is full, the least recently updated trainer without an open step is evicted.
+        """
         known = self._trainers.pop(key, None)
         if known is not None:
             self._close(known)
@@ -185,7 +198,7 @@
     known: collector.StepCollector, step: steps.Step
 ) -> expression.Result[collector.StepCollector, StepRefusal]:
     if known.digest != step.digest:
-        return _refuse(RefusalReason.CONFLICT, "the step was registered with other groups")
+        return _refuse(RefusalReason.CONFLICT, "the step is registered with different groups")
     if step.held is None:
         known.record_version(step.version)
     else:
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides what runs for a step: what starts, what is cancelled and what is made anew."""
+"""Schedules the work of a step: which samples to start, cancel, resume and restart."""
 
 import collections
 import math
@@ -10,22 +10,25 @@
 from oleander_samples import attempts, backlog, hedging, labels, predictions, steps, work
 
 MAX_TEXT_CHARACTERS = 4 * 1024 * 1024
-"""A sample that grows beyond this is thrown away and made anew."""
+"""A sample whose text grows beyond this length is discarded and generated again."""
 MAX_PENDING_CANCELLATIONS = 64 * 1024
-"""Beyond this the oldest are forgotten: their engines make what nobody takes."""
+"""Beyond this number the oldest cancellations are dropped, and their engines go on generating
+text that is discarded."""
 _INITIAL_BACKOFF_SECONDS = 0.1
+"""The longest delay before the first retry of a sample; it doubles with each failure."""
 _MAX_DOUBLINGS = 10
 MAX_DISCARDED_PERCENT = 25
-"""The part of a sample's expected length that is given up for newer weights, for staleness."""
+"""For trainers that minimise staleness: the part of a sample's expected length that may be
+discarded to generate all of it with newer weights."""
 
 
 class WorkScheduler:
     """
-    The attempts at the samples of a step that are not whole; not thread-safe.
+    Manages the attempts at the unfinished samples of a step; not thread-safe.
 
-    A sample that is not whole either waits or has one or two attempts. One that broke off is
-    resumed from what it had; one whose label can't be known, or whose oldest weights are too old
-    to be delivered, is made anew.
+    An unfinished sample either waits in the backlog or has one or two running attempts. If an
+    attempt fails, the sample is resumed from its partial text. If the label of the text can't be
+    determined, or its oldest weights are too old to be delivered, it is generated from the start.
     """
 
     def __init__(
@@ -35,7 +38,12 @@
         random_seed: int,
         max_discarded_percent: int = 0,
     ) -> None:
-        """Make anew what had at most so much of its expected length when its weights changed."""
+        """
+        Create a scheduler with all samples of the step in its backlog.
+
+        A sample is restarted when its engine's weights change if at most `max_discarded_percent`
+        of its expected length was generated with older weights.
+        """
         self._step = step
         self._random = random.Random(random_seed)
         self._work_name = identifiers.create_nonce()
@@ -63,32 +71,33 @@
 
     @property
     def waiting(self) -> int:
-        """How many samples wait to be started."""
+        """The number of samples that wait to be started."""
         return len(self._backlog)
 
     @property
     def running(self) -> int:
-        """How many samples have an attempt."""
+        """The number of samples with a running attempt."""
         return self._attempts.sample_count
 
     @property
     def in_flight(self) -> int:
-        """How many attempts run, hedges among them."""
+        """The number of running attempts, including hedges."""
         return len(self._attempts)
 
     @property
     def hedge_tokens(self) -> int:
-        """The tokens that hedges have made, counted against their budget."""
+        """The number of tokens that hedges have generated, as charged to their budget."""
         return self._hedges.spent_tokens
 
     def start_next(
         self, now: float, has_free_slot: bool = True, free_slot_rate: float | None = None
     ) -> work.SampleWork | None:
         """
-        Return what to start: a waiting sample, or else a straggler's next attempt.
+        Return the next work to start: a waiting sample, or else another attempt at a straggler.
 
-        Without a spare place a straggler stays where it is: it would only wait elsewhere. The
-        rate is what the fastest engine with a spare place makes of one sample, in tokens a second.
+        Stragglers are left alone while no engine has a free slot, since they would only wait
+        there. `free_slot_rate` is the rate at which the fastest engine with a free slot generates
+        one sample, in tokens per second; None if unknown.
         """
         number = self._backlog.pop(now)
         if number is not None:
@@ -100,7 +109,7 @@
     def record_progress(
         self, work_id: str, text: str, tokens: int, version: int | None, now: float
     ) -> None:
-        """Take in a piece of a stream; pieces of work that was cancelled are dropped."""
+        """Add a piece of an attempt's stream; pieces of cancelled work are ignored."""
         attempt = self._attempts.find(work_id)
         if attempt is None:
             return
@@ -122,7 +131,7 @@
     def finish(
         self, work_id: str, assumption: labels.Assumption | None, now: float
     ) -> expression.Result[steps.Sample, work.Outcome]:
-        """Take in the end of a whole answer; return the sample, or why there is none."""
+        """Finish an attempt whose stream has ended; return its sample, or why there is none."""
         attempt = self._remove(work_id)
         if attempt is None:
             return expression.Error(work.Outcome.NOT_WANTED)
@@ -141,10 +150,10 @@
 
     def fail(self, work_id: str, now: float) -> None:
         """
-        Take in that work broke off, and keep the start that it made to resume from.
+        Handle the failure of an attempt, and save its partial text so that it can be resumed.
 
-        A start whose label can't be known is not kept: it would make the label of the whole
-        sample a guess.
+        The text is discarded if its label can't be determined, because the label of the whole
+        sample would then be a guess.
         """
         attempt = self._remove(work_id)
         if attempt is None:
@@ -161,10 +170,10 @@
 
     def requeue_refused(self, work_id: str, now: float) -> None:
         """
-        Take in that work was refused before it began; it keeps what it resumes from.
+        Requeue a sample whose attempt was refused before it began, with its partial text.
 
-        A refusal says nothing against the sample, so its delay does not grow: with one that does,
-        the samples met by full engines would start last and hold up the step.
+        A refusal is not a failure of the sample, so the retry delay does not grow. If it did, the
+        samples that met full engines would start last and delay the step.
         """
         attempt = self._remove(work_id)
         if attempt is None:
@@ -174,13 +183,13 @@
             self._backlog.add_retry(attempt.work.number, now)
 
     def add_partial(self, number: int, partial: work.Partial) -> None:
-        """Take in the start of a sample that another process made."""
+        """Save a partial text, possibly of another process, unless a longer one is known."""
         known = self._partials.get(number)
         if known is None or known.tokens < partial.tokens:
             self._partials[number] = partial
 
     def list_partials(self) -> dict[int, work.Partial]:
-        """Return the longest start of each sample that is not whole."""
+        """Return the longest partial text of each unfinished sample that has one."""
         found = dict(self._partials)
         for attempt in self._attempts:
             partial = attempt.build_partial()
@@ -190,7 +199,7 @@
         return found
 
     def stop_sample(self, number: int) -> tuple[str, ...]:
-        """Stop work at a sample that is there; return the attempts that were running."""
+        """Stop work on a sample that now exists; return the work IDs that were running."""
         redundant = self._attempts.find_all(number)
         for attempt in redundant:
             self._remove(attempt.work.work_id)
@@ -200,11 +209,11 @@
         return tuple(attempt.work.work_id for attempt in redundant)
 
     def restart_sample(self, number: int, now: float) -> None:
-        """Make a sample that was there and is no more."""
+        """Queue a sample that was finished but is no longer available."""
         self._backlog.add_retry(number, now)
 
     def raise_oldest_version(self, version: int, now: float) -> None:
-        """Give up at once what was begun with weights that are too old to be delivered."""
+        """Set the oldest version that may be delivered, and discard attempts with older tokens."""
         self._oldest_version = version
         stale = [item for item in self._attempts if self._is_stale(item.oldest_version)]
         for attempt in stale:
@@ -216,23 +225,23 @@
                 steps.count_samples(self._step, metrics.SAMPLES_REMADE)
 
     def cancel(self, work_ids: tuple[str, ...]) -> None:
-        """Remember work to be cancelled at its engines."""
+        """Queue work to be cancelled at its engines."""
         self._cancellations.extend(work_ids)
 
     def cancel_all(self) -> None:
-        """Cancel whatever runs."""
+        """Cancel all running attempts and discard all partial texts."""
         for attempt in self._attempts:
             self._cancel(attempt)
         self._partials.clear()
 
     def take_cancellations(self) -> list[str]:
-        """Return the work to be cancelled, each once."""
+        """Return and clear the IDs of the work to be cancelled."""
         taken = list(self._cancellations)
         self._cancellations.clear()
         return taken
 
     def _save_partial(self, attempt: work.Attempt) -> bool:
-        """Keep what an attempt can be resumed from; return whether there is anything."""
+        """Save the partial text of an attempt; return whether it is usable."""
         partial = attempt.build_partial()
         if partial is None:
             return False
@@ -245,7 +254,7 @@
         invariants.require(
             partial is None or not self._is_stale(partial.oldest_version),
             "resumed-is-fresh",
-            f"sample {number} would be resumed from {partial and partial.label}",
+            f"sample {number} would be resumed from stale text: {partial and partial.label}",
         )
         self._work_count += 1
         group = self._group_of[number]
@@ -285,7 +294,7 @@
         return None
 
     def _hedge(self, straggler: work.Attempt, now: float) -> work.SampleWork | None:
-        """Start a second attempt from the text so far, if the budget has room for it."""
+        """Start a second attempt from the partial text if the token budget allows it."""
         partial = straggler.build_partial()
         made = partial.tokens if partial else 0
         tokens = self._hedges.predict_hedge_tokens(straggler.work.group, made)
@@ -296,7 +305,11 @@
         return hedge
 
     def _migrate(self, number: int, now: float) -> work.SampleWork | None:
-        """Cancel a sample's attempts and start one from the longest text; no token is lost."""
+        """
+        Cancel a sample's attempts and resume it from its longest partial text.
+
+        Return None, leaving the attempts alone, if migration is off or if tokens would be lost.
+        """
         same = self._attempts.find_all(number)
         partials = [partial for item in same if (partial := item.build_partial()) is not None]
         longest = max(partials, key=lambda item: item.tokens, default=None)
@@ -312,7 +325,7 @@
         return self._start(number, longest, now, is_hedge=False)
 
     def _cancel_slower(self, number: int, now: float) -> None:
-        """Cancel the later of two attempts, so that hedges cost no more than they may."""
+        """Cancel the slower of a sample's two attempts, because the hedge budget is exceeded."""
         same = self._attempts.find_all(number)
         if len(same) > 1:
             self._cancel(self._hedges.find_slower(same[0], same[1], now))
@@ -323,7 +336,7 @@
         self._backlog.update_rank(attempt.work.group)
 
     def _is_worth_restarting(self, attempt: work.Attempt) -> bool:
-        """Tell whether a few tokens make a sample older than most of it will be."""
+        """Return whether few enough tokens have older weights to discard them and start again."""
         outdated = attempt.outdated_tokens if self._max_discarded_percent else 0
         expected = self._lengths.predict_unstarted(attempt.work.group)
         return 0 < outdated * 100 <= expected * self._max_discarded_percent
@@ -349,7 +362,7 @@
         return attempt
 
     def _restart_discarded(self, attempt: work.Attempt, ready_at: float) -> None:
-        """Let a sample wait whose attempt was thrown away, unless another attempt runs."""
+        """Queue a sample whose attempt was discarded, unless another attempt is running."""
         number = attempt.work.number
         if self._attempts.find_all(number):
             return
@@ -358,7 +371,7 @@
         self._backlog.add_retry(number, ready_at)
 
     def _choose_backoff_seconds(self, number: int) -> float:
-        """Return a random, growing delay: a sample that keeps failing must not spin."""
+        """Return a random, exponentially growing delay for a sample that fails repeatedly."""
         failures = self._failures.get(number, 0)
         self._failures[number] = failures + 1
         longest = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
--- a/libs/samples/oleander_samples/steps.py
+++ b/libs/samples/oleander_samples/steps.py
@@ -1,4 +1,4 @@
-"""A training step and its samples."""
+"""Data types for a training step, its samples and their weight-version labels."""
 
 import dataclasses
 import json
@@ -8,36 +8,41 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Group:
-    """Samples that are made from one prompt."""
+    """A prompt from which several samples are generated."""
 
     prompt: str
     prefix: str
-    """Names the shared start of the prompt, for the engines' prefix caches; may be empty."""
+    """The key of the prompt's shared prefix in the engines' prefix caches; may be empty."""
     sample_count: int
     max_tokens: int
-    """The most tokens of one sample."""
+    """The maximum number of tokens of each sample."""
     expected_tokens: int = 0
-    """How many it will have as its trainer guesses; 0 where it does not say."""
+    """The trainer's estimate of the tokens of a sample; 0 if it gave none."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Step:
-    """What a trainer registered; sample `k` of group `g` is number `samples before g + k`."""
+    """
+    A step as its trainer registered it.
+
+    Samples are numbered from 0 through all groups: sample `k` of a group has the number `k` plus
+    the sample counts of all groups before it.
+    """
 
     customer: str
     trainer: str
     step: int
     incarnation: int
-    """Grows whenever the trainer starts anew."""
+    """A number that increases with each restart of the trainer."""
     version: int
     """The trainer's policy version when it registered the step."""
     groups: tuple[Group, ...]
     held: frozenset[int] | None = None
-    """The numbers that the trainer said it has, or nothing where it did not say."""
+    """The numbers of the samples that the trainer already has; None if it did not state them."""
 
     @property
     def digest(self) -> str:
-        """A short digest of the groups; tells two bodies for the same step apart."""
+        """A digest of the groups, which detects a different registration of the same step."""
         content = [
             [item.prompt, item.prefix, item.sample_count, item.max_tokens] for item in self.groups
         ]
@@ -45,12 +50,12 @@
 
     @property
     def sample_count(self) -> int:
-        """How many samples the step has."""
+        """The number of samples in all groups."""
         return sum(item.sample_count for item in self.groups)
 
 
 def count_samples(step: Step, metric: str, amount: int = 1) -> None:
-    """Count samples under a metric, and under the trainer for the report."""
+    """Add to a metric and to the trainer's counter of the same kind, which the report shows."""
     kind = metric.rpartition(".")[2]
     metrics.count(metric, amount)
     metrics.count(f"customer.{step.customer}.trainer.{step.trainer}.{kind}", amount)
@@ -58,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LabelPart:
-    """Consecutive tokens that one weight version made."""
+    """A run of consecutive tokens that were generated with one weight version."""
 
     version: int
     tokens: int
@@ -66,7 +71,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Sample:
-    """A whole sample and the weight versions that made it, in order."""
+    """A complete sample, labelled with the weight versions that generated it, in token order."""
 
     number: int
     group: int
@@ -75,10 +80,10 @@
 
     @property
     def oldest_version(self) -> int:
-        """The version that decides whether the sample is stale."""
+        """The oldest weight version in the label; it decides whether the sample is stale."""
         return find_oldest_version(self.label)
 
 
 def find_oldest_version(label: tuple[LabelPart, ...]) -> int:
-    """Return the oldest version of a label, which must not be empty."""
+    """Return the oldest weight version of a label, which must not be empty."""
     return min(part.version for part in label)
--- a/libs/samples/oleander_samples/work.py
+++ b/libs/samples/oleander_samples/work.py
@@ -1,4 +1,4 @@
-"""One attempt at one sample: what is asked of an engine and what came of it so far."""
+"""One attempt to generate a sample: the request to an engine and the text received so far."""
 
 import dataclasses
 import enum
@@ -10,22 +10,25 @@
 from oleander_samples import labels, steps
 
 _PRIOR_TOKENS = 128
-"""How many tokens at the typical rate an attempt is credited with before it has shown its own."""
+"""Tokens at the typical rate that are added to each rate measurement, so that a new attempt is
+not taken for a straggler before its own rate is known."""
 
 _WINDOW_TOKENS = 512
-"""A rate is averaged over the time in which an engine typically makes so many."""
+"""A rate is averaged over the time in which a typical engine generates this many tokens."""
 _MAX_WINDOW_SECONDS = 5.0
-"""Longer, and a slow engine keeps its text for most of the time in which its step is due."""
+"""With a longer window a slow engine keeps its text for most of the time in which the step is
+due."""
 _MIN_WINDOW_SECONDS = 1.5
-"""Shorter, and engines that stand still for a second to load weights look slow."""
+"""With a shorter window an engine that pauses for a second to load weights looks slow."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SampleWork:
     """
-    A sample to be made, or to be finished from a text that has been begun.
+    A request to generate a sample, from the beginning or from a partial text.
 
-    Choose another engine than the one that had the same number before: it may have been slow.
+    Send it to another engine than an earlier attempt at the same sample, which may have been
+    stopped because its engine was slow.
     """
 
     work_id: str
@@ -34,35 +37,38 @@
     prompt: str
     prefix: str
     max_tokens: int
-    """The most tokens of the whole sample, those of the resumed text among them."""
+    """The maximum number of tokens of the whole sample, including those of the resumed text."""
     resumed_text: str
     resumed_label: tuple[steps.LabelPart, ...]
     resumed_tokens: int
     oldest_version: int
-    """Weights older than this are of no use."""
+    """The oldest weight version with which a generated token is not stale."""
     is_hedge: bool
-    """Whether another attempt at the same sample runs."""
+    """Whether it races another running attempt at the same sample."""
     expected_tokens: int = 0
-    """How many are expected to be made yet."""
+    """The predicted number of tokens that remain to be generated."""
 
 
 class Outcome(enum.Enum):
-    """What became of finished work."""
+    """What happened to the answer of finished work."""
 
     KEPT = "kept"
+    """The sample is stored until the trainer holds it."""
     UNKNOWN_LABEL = "unknown-label"
+    """The weight versions that generated it can't be determined; it is generated again."""
     STALE = "stale"
+    """It contains tokens of weights that are too old; it is generated again."""
     NOT_WANTED = "not-wanted"
-    """It was cancelled, its sample is already there, or its step has ended."""
+    """The work was cancelled, its sample already exists, or its step has ended."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class FinishedWork:
-    """What became of a whole answer, and the other attempts that are of no more use."""
+    """The outcome of a complete answer, and the attempts that it makes redundant."""
 
     outcome: Outcome
     redundant_work_ids: tuple[str, ...] = ()
-    """Work to cancel at its engines."""
+    """Other attempts at the same sample, which must be cancelled at their engines."""
 
     @property
     def is_kept(self) -> bool:
@@ -72,7 +78,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Partial:
-    """The known start of a sample, from which it can be resumed on any engine."""
+    """The start of a sample with its label, from which any engine can resume it."""
 
     text: str
     label: tuple[steps.LabelPart, ...]
@@ -80,12 +86,12 @@
 
     @property
     def oldest_version(self) -> int:
-        """The version that decides whether it is stale."""
+        """The oldest weight version in the label; it decides whether the text is stale."""
         return steps.find_oldest_version(self.label)
 
 
 class Attempt:
-    """Work in progress; not thread-safe."""
+    """A running attempt with its text, label and rate so far; not thread-safe."""
 
     def __init__(self, work: SampleWork, started_at: float) -> None:
         self._work = work
@@ -101,37 +107,42 @@
 
     @property
     def work(self) -> SampleWork:
-        """What was asked for."""
+        """The request that this attempt serves."""
         return self._work
 
     @property
     def generated_tokens(self) -> int:
-        """The tokens of this attempt alone."""
+        """The number of tokens that this attempt generated, without those it was resumed from."""
         return self._generated_tokens
 
     @property
     def tokens(self) -> int:
-        """The tokens of the sample so far."""
+        """The number of tokens of the sample so far, including those it was resumed from."""
         return self._work.resumed_tokens + self._generated_tokens
 
     @property
     def characters(self) -> int:
-        """The length of the text so far."""
+        """The length of the text so far, in characters."""
         return self._text.tell()
 
     @property
     def oldest_version(self) -> int | None:
-        """The oldest version that is known to have made any of it."""
+        """The oldest weight version stated for any of its tokens; None if none was stated."""
         return self._label.oldest_version
 
     @property
     def outdated_tokens(self) -> int:
-        """The tokens that older weights made than the newest ones that made any."""
+        """The number of tokens of older weight versions than its newest one."""
         return self._label.outdated_tokens
 
     @property
     def time_to_first_token(self) -> float | None:
-        """How long it waited for its first piece; one that came in a single piece doesn't tell."""
+        """
+        The seconds from its start to its first piece.
+
+        None until a second piece arrives: if all tokens come in one piece, its arrival doesn't
+        show when the engine began.
+        """
         if self._first_piece is None or self._first_piece[1] == self._generated_tokens:
             return None
         return self._first_piece[0] - self._started_at
@@ -139,10 +150,12 @@
     @property
     def mean_rate(self) -> float | None:
         """
-        Its tokens a second from the first piece to the last, where these tell it.
+        Its tokens per second from the first piece to the last; None if there are no tokens.
 
-        With the wait for a place counted in, texts of a crowded step look half as fast as their
-        engines are, and one on an engine that is three times slower looks like the others.
+        If all tokens came at one moment, the time is measured from the start of the attempt.
+        Otherwise the wait for a free slot is left out. Including it makes the engines of a
+        crowded step look half as fast as they are, which hides an engine that is three times
+        slower than the others.
         """
         if self._first_piece is None:
             return None
@@ -153,7 +166,7 @@
         return (self._generated_tokens - before) / seconds if seconds > 0.0 else None
 
     def add_piece(self, text: str, tokens: int, version: int | None, now: float) -> None:
-        """Take in a piece of the stream."""
+        """Add a piece of the stream; `version` is None if the engine did not state it."""
         self._text.write(text)
         self._label.add(version, tokens)
         self._generated_tokens += max(0, tokens)
@@ -162,17 +175,18 @@
             self._first_piece = (now, tokens)
 
     def measure_elapsed(self, now: float) -> float:
-        """Return how long it has run, the wait for a slot included."""
+        """Return the seconds since the start of the attempt, including the wait for a slot."""
         return now - self._started_at
 
     def measure_rate(self, typical_rate: float, max_wait_seconds: float, now: float) -> float:
         """
-        Return its tokens a second lately; call it regularly.
+        Return its recent rate in tokens per second.
 
-        It is credited with some tokens at the usual rate, so that a new one is no straggler. The
-        wait for its first piece is left out, but for what went beyond the patience in seconds.
-        Only the last seconds count: an engine that stops after a good start would look
-        fast on the whole for as long as it ran well.
+        Call it regularly: each call may advance the window over which the rate is averaged. The
+        window is short, because an engine that stalls after a good start would look fast on
+        average for as long as it had run well. `_PRIOR_TOKENS` at the typical rate are added, so
+        that a new attempt is not a straggler. The wait for the first piece counts only beyond
+        `max_wait_seconds`.
         """
         window_seconds = max(_MIN_WINDOW_SECONDS, _WINDOW_TOKENS / typical_rate)
         if now - self._next_window[0] >= min(_MAX_WINDOW_SECONDS, window_seconds):
@@ -187,7 +201,7 @@
     def build_sample(
         self, assumption: labels.Assumption | None
     ) -> expression.Result[steps.Sample, labels.LabelError]:
-        """Return the sample, once it is whole."""
+        """Return the complete sample, or why its label can't be determined."""
         if assumption is not None:
             self._label.set_assumption(
                 assumption.before, assumption.after, assumption.has_pending_order
@@ -203,10 +217,10 @@
 
     def build_partial(self) -> Partial | None:
         """
-        Return what another attempt can resume from, if its label is known.
+        Return the partial text for another attempt to resume from, or None if it is unusable.
 
-        One that has all its tokens but not the end of its stream is no start of anything:
-        there is nothing left to ask an engine for, and the text may lack its last piece.
+        It is unusable if its label is not known, or if it has the maximum number of tokens but
+        its stream did not end: no tokens are left to request, and the last piece may be missing.
         """
         label = self._label.build()
         if label.is_error() or self.tokens >= self._work.max_tokens:
@@ -218,5 +232,5 @@
         invariants.require(
             sum(part.tokens for part in label) == self.tokens,
             "label-covers-sample",
-            f"{self._work.work_id}: {self.tokens} tokens, label {label}",
+            f"work {self._work.work_id} has {self.tokens} tokens but the label {label}",
         )
