--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -202,8 +202,8 @@
                     return expression.Error(pulls.PullRefusal(refused))
                 answer = self._build_answer(pull)
                 if answer.samples or answer.complete or deadline.is_past:
-                    fresh = self._inventory.record_offered(answer)
-                    steps.count_samples(self._step, metrics.SAMPLES_DELIVERED, fresh)
+                    newly_offered = self._inventory.record_offered(answer)
+                    steps.count_samples(self._step, metrics.SAMPLES_DELIVERED, newly_offered)
                     return expression.Ok(answer)
                 self._changed.wait(deadline.remaining)
 
--- a/libs/samples/oleander_samples/hedging.py
+++ b/libs/samples/oleander_samples/hedging.py
@@ -85,8 +85,8 @@
 
         A scan is due once enough samples are finished and the scan interval has passed.
         """
-        least = self._total * self._policy.min_finished_percent / 100
-        if not self._policy.is_active or finished_count < least:
+        min_finished_count = self._total * self._policy.min_finished_percent / 100
+        if not self._policy.is_active or finished_count < min_finished_count:
             return False
         if now < self._next_scan_at:
             return False
@@ -177,13 +177,20 @@
             return None
         rate = attempt.measure_rate(typical, self._max_wait_seconds, now)
         tokens = self.predict_remaining(attempt)
-        here = tokens / rate
+        remaining_seconds = tokens / rate
         if (
             free_slot_rate
-            and here >= (tokens + _RESTART_COST_TOKENS) / free_slot_rate + _MIN_GAIN_SECONDS
+            and remaining_seconds
+            >= (tokens + _RESTART_COST_TOKENS) / free_slot_rate + _MIN_GAIN_SECONDS
         ):
-            return here
+            return remaining_seconds
         if rate * _STRAGGLER_FACTOR >= typical:
             return None
-        elsewhere = self._rates.typical_wait_seconds + (tokens + _RESTART_COST_TOKENS) / typical
-        return here if here > _STRAGGLER_FACTOR * elsewhere else None
+        elsewhere_seconds = (
+            self._rates.typical_wait_seconds + (tokens + _RESTART_COST_TOKENS) / typical
+        )
+        return (
+            remaining_seconds
+            if remaining_seconds > _STRAGGLER_FACTOR * elsewhere_seconds
+            else None
+        )
--- a/libs/samples/oleander_samples/labels.py
+++ b/libs/samples/oleander_samples/labels.py
@@ -68,9 +68,9 @@
     def outdated_tokens(self) -> int:
         """The number of tokens of older versions than the newest one stated so far."""
         known = [(part.version, part.tokens) for part in self._resumed]
-        known += [(version, made) for version, made in self._pieces if version is not None]
+        known += [(version, tokens) for version, tokens in self._pieces if version is not None]
         newest = max((version for version, _ in known), default=0)
-        return sum(made for version, made in known if version < newest)
+        return sum(tokens for version, tokens in known if version < newest)
 
     def add(self, version: int | None, tokens: int) -> None:
         """Add the tokens of a piece, merging it with a preceding piece of the same version."""
--- a/libs/samples/oleander_samples/predictions.py
+++ b/libs/samples/oleander_samples/predictions.py
@@ -83,13 +83,13 @@
 
     def predict_total(self, group: int, generated: int) -> int:
         """Return the predicted length of a sample of which `generated` tokens exist."""
-        most = self._max_tokens[group]
+        limit = self._max_tokens[group]
         if group not in self._groups and generated < self._expected_tokens[group]:
-            return min(most, self._expected_tokens[group])
+            return min(limit, self._expected_tokens[group])
         if self._step.count == 0:
-            return max(most, generated)
+            return max(limit, generated)
         expected = self._find_expected(group, generated)
-        return max(generated, min(most, int(expected)))
+        return max(generated, min(limit, int(expected)))
 
     def _find_expected(self, group: int, generated: int) -> float:
         of_step = self._step.find_median_above(generated)
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -115,8 +115,8 @@
     def record_incarnation(self, customer: str, trainer: str, incarnation: int) -> None:
         """Record an incarnation seen at any entry; a newer one closes the trainer's step."""
         with self._lock:
-            known = self._trainers.get((customer, trainer))
-            if known is not None and incarnation <= known.incarnation:
+            trainer_state = self._trainers.get((customer, trainer))
+            if trainer_state is not None and incarnation <= trainer_state.incarnation:
                 return
             self._store_trainer((customer, trainer), _TrainerState(incarnation))
 
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -259,7 +259,7 @@
         self._work_count += 1
         group = self._group_of[number]
         terms = self._step.groups[group]
-        made = partial.tokens if partial else 0
+        resumed_tokens = partial.tokens if partial else 0
         started = work.SampleWork(
             work_id=f"{self._work_name}-{self._work_count}",
             number=number,
@@ -269,17 +269,17 @@
             max_tokens=terms.max_tokens,
             resumed_text=partial.text if partial else "",
             resumed_label=partial.label if partial else (),
-            resumed_tokens=made,
+            resumed_tokens=resumed_tokens,
             oldest_version=self._oldest_version,
             is_hedge=is_hedge,
-            expected_tokens=self._hedges.predict_hedge_tokens(group, made),
+            expected_tokens=self._hedges.predict_hedge_tokens(group, resumed_tokens),
         )
         self._attempts.add(work.Attempt(started, now))
         return started
 
     def _start_straggler(self, now: float, free_slot_rate: float | None) -> work.SampleWork | None:
-        whole = self._step.sample_count - self.waiting - self.running
-        if self._hedges.is_scan_due(whole, now):
+        finished_count = self._step.sample_count - self.waiting - self.running
+        if self._hedges.is_scan_due(finished_count, now):
             self._stragglers.clear()
             found = self._hedges.find_stragglers(self._attempts, now, free_slot_rate)
             self._stragglers.extend(found)
@@ -296,8 +296,8 @@
     def _hedge(self, straggler: work.Attempt, now: float) -> work.SampleWork | None:
         """Start a second attempt from the partial text if the token budget allows it."""
         partial = straggler.build_partial()
-        made = partial.tokens if partial else 0
-        tokens = self._hedges.predict_hedge_tokens(straggler.work.group, made)
+        resumed_tokens = partial.tokens if partial else 0
+        tokens = self._hedges.predict_hedge_tokens(straggler.work.group, resumed_tokens)
         if not self._hedges.has_budget_for(tokens):
             return None
         hedge = self._start(straggler.work.number, partial, now, is_hedge=True)
@@ -313,11 +313,11 @@
         same = self._attempts.find_all(number)
         partials = [partial for item in same if (partial := item.build_partial()) is not None]
         longest = max(partials, key=lambda item: item.tokens, default=None)
-        made = max((item.tokens for item in same), default=0)
+        generated_tokens = max((item.tokens for item in same), default=0)
         if (
             not same
             or not self._policy.allows_migration
-            or made > (longest.tokens if longest else 0)
+            or generated_tokens > (longest.tokens if longest else 0)
         ):
             return None
         for attempt in same:
@@ -374,6 +374,6 @@
         """Return a random, exponentially growing delay for a sample that fails repeatedly."""
         failures = self._failures.get(number, 0)
         self._failures[number] = failures + 1
-        longest = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
-        most = min(self._policy.max_backoff_seconds, longest)
-        return most * self._random.uniform(0.5, 1.0)
+        uncapped = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
+        longest = min(self._policy.max_backoff_seconds, uncapped)
+        return longest * self._random.uniform(0.5, 1.0)
