--- a/features/pulls.feature
+++ b/features/pulls.feature
@@ -1,10 +1,10 @@
-Feature: Samples reach their trainer once, and fresh
-  The trainer's own statement of what it holds, made with every pull, is the only truth. Works are
-  named a, b, c as they start; `7/5` is 5 tokens of version 7; `3<10` is sample 3 resumed after 10 tokens.
+Feature: Samples are delivered to their trainer once, and never stale
+  Each pull states which samples the trainer holds; only this shows that a sample was delivered. Work items
+  are named a, b, c as they start; `7/5` is 5 tokens of version 7; `3<10` is sample 3 resumed after 10 tokens.
 
-  Scenario Outline: Nothing is made before the trainer said what it holds
-    # The trainer sees a replaced entry go on where the old one died. The entry lost its memory, the
-    # trainer put the step again and pulled; what it holds by then must not be made a second time.
+  Scenario Outline: No work is started before the trainer has stated which samples it holds
+    # An entry was restarted without its state, and the trainer registers the step again and pulls.
+    # Guards against generating again the samples that the trainer already holds.
     Given a collector of 4 samples, staleness bound 1
     When its sample events are <events>
     Then the samples started were <works>
@@ -18,7 +18,7 @@
       | pull 7, after 120, start                  | 0                   |
       | pull 7, after 121, start, pull 7, start   | none 0              |
 
-  Scenario Outline: A step that says what is held needs no first pull
+  Scenario Outline: A registration that lists the held samples needs no first pull
     Given a collector of 4 samples whose trainer said it holds "<held>"
     When its sample events are <events>
     Then the samples started were <works>
@@ -30,9 +30,9 @@
       | 0-3  | start                                  | none          |
       | 0    | after 1800, start, after 1, start      | 1 none        |
 
-  Scenario Outline: A lost answer is offered again and a held sample never
-    # The trainer sees an answer cut off and pulls again. The first answer may have reached it or
-    # not; only its next statement tells, so the samples stay until then.
+  Scenario Outline: Samples are offered again after a lost answer, and held samples never
+    # An answer is cut off and the trainer pulls again. Only that pull shows whether the first answer
+    # arrived. Guards against removing samples that were sent but not received.
     Given a collector of 2 samples, staleness bound 1
     When its sample events are pull 7, start 2, whole a 7/5, <events>
     Then the sample pulls were answered empty; <answers>
@@ -47,14 +47,14 @@
       | pull 7 0-1, pull 7 0-1                              | complete; complete              |
       | whole b 7/3, pull 7 0-1, pull 7 0, start, whole c 8/2, pull 7 0 | complete; empty; 1:8/2 complete |
 
-  Scenario Outline: A stale sample is dropped, counted and made anew
-    # The trainer sees only fresh samples. It raises its version between two pulls, so a sample
-    # that was fresh when it was made, or when its answer was lost, may be too old by now.
+  Scenario Outline: A stale sample is discarded, counted and generated again
+    # The trainer raises its version between two pulls. Guards against delivering a sample that was not
+    # stale when it was generated, or when its first answer was lost, but is too old now.
     Given a collector of 2 samples, staleness bound 1
     When its sample events are pull 7, start 2, <events>
     Then the sample pulls were answered empty; <answers>
     And the samples started were <works>
-    And <stale> samples were counted stale and <remade> made anew
+    And <stale> samples were counted stale and <remade> generated again
 
     Examples:
       | events                                                   | answers               | works    | stale | remade |
@@ -79,14 +79,14 @@
       | pull 7 2            | bad-held     |
       | close, pull 7       | step-unknown |
 
-  Scenario: Of two pulls in flight the older is refused
-    # The trainer's first pull hangs in a balancer and it pulls again. Both reach the collector; if
-    # both were answered, the same samples would be on their way twice.
+  Scenario: The older of two concurrent pulls is refused
+    # The trainer's first pull is delayed by a load balancer and it pulls again. If both pulls were
+    # answered, the same samples would be sent twice.
     Given a collector of 2 samples, staleness bound 1
     When a sample pull waits and another one comes
     Then the sample pull that waited is refused as superseded, and none got a sample
 
-  Scenario: An answer is whole or recognised as cut
+  Scenario: The digest of an answer shows whether its body is complete
     When a sample with the text "é\ud83d\n" is answered
     Then the sample answer's digest fits its body, and not the body without its last byte
     And the sample answer is
@@ -97,10 +97,10 @@
       """
 
   Scenario Outline: Only the newest step of the newest incarnation is collected
-    # A trainer that was paused wakes up and puts a step that its successor has long gone past; it
-    # sees a refusal. A step in the registry is written incarnation/step; 3/5b has other groups.
+    # A trainer that was paused resumes and registers a step that its successor has already passed; the
+    # registration is refused. A step is written incarnation/step; 3/5b has other groups.
     Given a sample registry for 3 trainers and 2 open steps
-    When these sample steps are put: <steps>
+    When these sample steps are registered: <steps>
     Then the sample registry answered <answers>
     And the sample steps open are <open>
 
@@ -123,17 +123,17 @@
       | a3/5 silent:1799 b3/5 silent:2 c3/5 | new new new                         | b3/5 c3/5   |
       | heard:a9 heard:b9 heard:c9 a3/5 heard:d9 a3/5 | superseded new            | a3/5        |
 
-  Scenario: A closed step's work is cancelled and its pulls are told to put the step again
+  Scenario: The work of a closed step is cancelled
     Given a sample registry for 3 trainers and 2 open steps
-    When these sample steps are put: a3/5 started:2 a3/6 started:1 a4/1
-    Then 3 pieces of work of the sample registry are cancelled, each once
+    When these sample steps are registered: a3/5 started:2 a3/6 started:1 a4/1
+    Then 3 work items of the sample registry are cancelled, each once
 
   Scenario Outline: A random run of lost answers, restarts, hedges and new versions
-    # The trainer sees each sample once, none older than its bound when it arrives, and in the end
-    # all of them, whatever is lost, late, repeated or replaced. The model plays the trainer, the
-    # engines and two entries, in any order, and checks every answer that arrives.
+    # A model of the trainer, the engines and two entries plays random events and checks every answer.
+    # Each sample must arrive once and within the staleness bound, and the step must become complete,
+    # whatever is lost, late, repeated or replaced.
     When a model trainer plays <events> events with seed <seed> against two sample registries
-    Then no sample was lost, doubled, stale or wrongly labelled, and each kind of event had occurred
+    Then no sample was lost, duplicated, stale or wrongly labelled, and each kind of event occurred
 
     Examples:
       | seed | events |
--- a/features/sample_steps_readers.feature
+++ b/features/sample_steps_readers.feature
@@ -1,5 +1,5 @@
-Feature: Reading what trainers send
-  A trainer's body is read whole: every fault is reported with its place, and a bad body changes nothing.
+Feature: Parsing the requests of trainers
+  All problems of a body are reported together, each with its path, and an invalid body changes nothing.
 
   Scenario Outline: A compact set of sample numbers is read and written
     When the sample set "<text>" of a step of 10 is read
@@ -13,7 +13,7 @@
       | 0-9       | 0 1 2 3 4 5 6 7 8 9 |
       | 0-2,5,8-9 | 0 1 2 5 8 9         |
 
-  Scenario Outline: A sample set that is no set of the step's numbers is rejected
+  Scenario Outline: A sample set that is malformed or names other numbers than the step's is rejected
     When the sample set "<text>" of a step of 10 is read
     Then the sample findings are
       | place | problem   |
@@ -41,14 +41,14 @@
       """
     Then the trainer's step is 12 with 5 samples and holds 0 1
 
-  Scenario: A step that does not say what is held is told from one that holds nothing
+  Scenario: A step without held samples differs from one with an empty set of them
     When the trainer's step "12" is read from
       """
       {"incarnation": 3, "version": 7, "groups": [{"prompt": "a", "prefix": "", "samples": 2, "max_tokens": 9}]}
       """
     Then the trainer's step is 12 with 2 samples and does not say what it holds
 
-  Scenario: All faults of a step are reported together
+  Scenario: All problems of a step are reported together
     When the trainer's step "-1" is read from
       """
       {"incarnation": true, "groups": [
@@ -68,7 +68,7 @@
       | groups[2].samples    | is not an integer                    |
       | groups[2].max_tokens | is missing                           |
 
-  Scenario Outline: A step out of bounds is rejected
+  Scenario Outline: A step that exceeds a limit is rejected
     When a trainer's step with <groups> groups of <samples> samples and prompts of <bytes> bytes is read
     Then the sample findings are
       | place   | problem   |
@@ -81,7 +81,7 @@
       | 1      | 1       | 262145   | groups[0].prompt | has 262145 bytes, more than 262144         |
       | 1      | 1       | 17000000 | body             | has 17000105 bytes, more than 16777216     |
 
-  Scenario Outline: A body that is no JSON object is rejected
+  Scenario Outline: A body that is not a JSON object is rejected
     When the trainer's pull is read from the bytes <bytes>
     Then the sample findings name body
 
@@ -94,7 +94,7 @@
       | 31 * 5000            |
       | 7b22686c6422         |
 
-  Scenario Outline: A bad pull is rejected with the place of each fault
+  Scenario Outline: An invalid pull is rejected with the path of each problem
     When the trainer's pull is read from the text <body>
     Then the sample findings name <places>
 
--- a/features/sample_trials.py
+++ b/features/sample_trials.py
@@ -1,4 +1,4 @@
-"""Trainers of a small deployment that are stopped at each step of a sample's way."""
+"""Trainers in a small deployment whose samples can be held at each stage of their delivery."""
 
 import concurrent.futures
 import json
@@ -42,7 +42,7 @@
 
 
 def create_hosts():
-    """Return two engines of four slots each: the samples of a step need two rounds."""
+    """Return two engines of four slots each, so that the samples of a step need two rounds."""
     return tuple(
         deployment.BackendHost(name, "designs", "engine", name[-1], MODEL, SLOTS)
         for name in ENGINES
@@ -50,7 +50,7 @@
 
 
 class SampleTrials:
-    """Starts trainers, brings their samples to a named step, and reads what was made."""
+    """Starts trainers, brings their samples to a named stage, and reads what was generated."""
 
     def __init__(self, deployed):
         self._deployed = deployed
@@ -69,7 +69,7 @@
         self.held_then = 0
 
     def start_trainer(self, process, name, entries=deployments.ENTRIES, *flags):
-        """Start a trainer of the contract as a process of some name."""
+        """Start a trainer of the contract in a process of the given name."""
         arguments = []
         for entry in entries:
             arguments += ["--entry", self._deployed.relays[f"trainer-{entry}"].url]
@@ -85,12 +85,12 @@
         return self._cluster.start(process, module, *arguments, ready=False)
 
     def bring_to(self, stage, trainer, flags):
-        """Start a trainer and wait until its samples have come to a step of their way."""
+        """Start a trainer and wait until its samples have reached a stage."""
         self._stages[stage](trainer, flags)
         self.held_then = self.count_held("trainer")
 
     def release(self):
-        """End what holds the samples at their step; faults stay."""
+        """End the pauses and held answers that keep the samples at a stage; faults stay."""
         for name in ENGINES:
             self._pause(name, pause_start=False, pause_after=0)
         if self._held_relay is not None:
@@ -98,12 +98,12 @@
             self._held_relay = None
 
     def publish(self, version):
-        """Store and announce weights."""
+        """Store a version of the weights and announce it."""
         assert support.call("PUT", self._name_weights(version), b"weights").status == 200
         self.announce(version)
 
     def announce(self, version):
-        """Announce weights, whether they are in the store or not."""
+        """Announce a version of the weights, whether it is in the store or not."""
         path = f"/v1/customers/{CUSTOMER}/models/{MODEL}/versions/{version}"
         headers = self._deployed.deployed.write_headers(CUSTOMER)
         body = {"uri": self._name_weights(version)}
@@ -111,38 +111,38 @@
         assert support.call("PUT", url, body, headers).status == 200
 
     def await_loaded(self, version):
-        """Wait until every engine has a version."""
+        """Wait until every engine has loaded a version."""
         support.wait_until(
             lambda: all(self._count(name)["version"] == version for name in ENGINES),
             f"every engine has version {version}",
         )
 
     def put_step(self, entry, trainer, step, groups, incarnation=1):
-        """Register a step as a trainer would; return the answer."""
+        """Send a trainer's registration of a step to an entry; return the answer."""
         path = f"/v1/customers/{CUSTOMER}/trainers/{trainer}/steps/{step}"
         body = {"incarnation": incarnation, "version": 1, "groups": groups}
         headers = self._deployed.deployed.write_headers(CUSTOMER)
         return support.call("PUT", self._cluster.url(entry) + path, body, headers)
 
     def read_lines(self, process):
-        """Return what a trainer has printed so far."""
+        """Return the JSON lines that a trainer has printed so far."""
         return [json.loads(line) for line in list(self._cluster.find(process).lines.queue)]
 
     def read_held(self, process):
-        """Return what a trainer said last that it holds."""
+        """Return the sample numbers that a trainer last said it holds, such as `0-5,9`."""
         texts = [line["held"] for line in self.read_lines(process) if "held" in line]
         return texts[-1] if texts else ""
 
     def count_held(self, process):
-        """Return how many samples a trainer holds."""
+        """Return how many samples a trainer last said it holds."""
         return count_numbers(self.read_held(process))
 
     def await_held(self, process, count):
-        """Wait until a trainer holds so many samples."""
+        """Wait until a trainer holds at least `count` samples."""
         support.wait_until(lambda: self.count_held(process) >= count, f"{count} samples are held")
 
     def await_put(self, process, entry):
-        """Wait until a trainer's last registration was taken by an entry."""
+        """Wait until a trainer's last registration was accepted by this entry."""
         place = deployments.ENTRIES.index(entry)
 
         def has_put():
@@ -152,36 +152,36 @@
         support.wait_until(has_put, f"the trainer has put its step at {entry}")
 
     def await_first_put(self, process):
-        """Wait until a trainer's first registration was taken."""
+        """Wait until a trainer's first registration was accepted."""
         support.wait_until(
             lambda: any("put" in line for line in self.read_lines(process)),
             f"{process} has put its step",
         )
 
     def await_exit(self, process):
-        """Wait until a trainer has ended."""
+        """Wait until a trainer's process has exited."""
         self._cluster.find(process).wait_exit(_EXIT_SECONDS)
 
     def await_end(self, process):
-        """Return the exit code and the last line of a trainer."""
+        """Wait for a trainer to exit; return its exit code and its last line, the summary."""
         child = self._cluster.find(process)
         code = child.wait_exit(_EXIT_SECONDS)
         lines = [json.loads(line) for line in child.wait_lines()]
         return code, lines[-1]
 
     def count_tokens(self):
-        """Return how many tokens the engines that live have made."""
+        """Return how many tokens the running engines have generated."""
         return sum(self._count(name)["tokens"] for name in ENGINES if self._is_alive(name))
 
     def count_delivered(self, entry, trainer):
-        """Return how many samples an entry has put into answers to a trainer."""
+        """Return how many samples an entry has sent to a trainer."""
         headers = self._deployed.deployed.write_headers("operator")
         report = support.call("GET", f"{self._cluster.url(entry)}/v1/report", None, headers)
         name = f"customer.{CUSTOMER}.trainer.{trainer}.delivered"
         return report.read_json()["counts"].get(name, 0)
 
     def await_made(self, tokens):
-        """Wait until the engines have made so many tokens and nothing runs."""
+        """Wait until the engines have generated at least `tokens` tokens and are idle."""
 
         def is_made():
             running = sum(self._count(name)["running"] for name in ENGINES)
@@ -190,7 +190,7 @@
         support.wait_until(is_made, f"{tokens} tokens are made")
 
     def await_peers(self, count):
-        """Wait until the collecting entry counts so many sidecars."""
+        """Wait until the collecting entry is connected to `count` sidecars."""
         self._deployed.await_entry_peers("entry-a", count)
 
     def _name_weights(self, version):
@@ -213,7 +213,7 @@
         self._await_running(_PAUSE_TOKENS)
 
     def _come_to_swapped(self, trainer, flags):
-        """The trainer is ahead of the engines, which follow in mid-stream."""
+        """Start the trainer one version ahead of the engines, which load it in mid-stream."""
         self._come_to_streaming(trainer, ("--version-start", "2", *flags))
         self.publish(2)
         self.await_loaded(2)
@@ -253,7 +253,7 @@
         )
 
     def _await_running(self, tokens):
-        """Wait until every slot has made so many tokens and holds there."""
+        """Wait until every slot has generated `tokens` tokens and is paused there."""
 
         def is_there():
             counts = [self._count(name) for name in ENGINES]
@@ -268,7 +268,7 @@
         self._held_relay.block(_ANSWERS)
 
     def _hold_next_answer(self):
-        """Hold answers once a pull has just begun: it is to end with samples, not empty."""
+        """Hold answers from the start of the next pull on, so that it ends with samples."""
         before = len(self.read_lines("trainer"))
         support.wait_until(lambda: len(self.read_lines("trainer")) > before, "a pull has ended")
         self._hold_answers()
@@ -298,16 +298,17 @@
 
 
 def count_numbers(text):
-    """Return how many numbers a text like 0-5,9 names."""
+    """Return how many numbers a set such as `0-5,9` contains."""
     ranges = [part.split("-") for part in text.split(",") if part]
     return sum(int(item[-1]) - int(item[0]) + 1 for item in ranges)
 
 
 class SpareDeployments:
     """
-    Starts the next scenario's deployment while this one's runs: a start is half of a scenario.
+    Starts the next scenario's deployment while the current scenario runs.
 
-    Each scenario has a deployment of its own all the same; the last spare is ended unused.
+    Each scenario still gets its own deployment; starting one takes half of a scenario's time. The
+    last spare deployment is stopped unused.
     """
 
     def __init__(self):
@@ -315,13 +316,13 @@
         self._next = None
 
     def take(self):
-        """Return a deployment that has been started, and start the next."""
+        """Return a started deployment and begin to start the next one."""
         spare = self._next or self._pool.submit(_create_deployment)
         self._next = self._pool.submit(_create_deployment)
         return spare.result()
 
     def stop(self):
-        """End the spare."""
+        """Stop the spare deployment."""
         self._pool.shutdown()
         self._next.result().cluster.stop()
 
@@ -338,7 +339,7 @@
 
 
 def start(context):
-    """Give a scenario its deployment and return its trials."""
+    """Assign a started deployment to the scenario; return its trials."""
     name = context.feature.filename
     if name not in _spares:
         _spares[name] = SpareDeployments()
--- a/features/samples.feature
+++ b/features/samples.feature
@@ -1,7 +1,9 @@
-Feature: Samples are labelled truthfully
-  A sample names the weight versions that made it, as its engine stated them, or it is thrown away.
+Feature: Labels, scheduling and hedging of samples
+  A sample is labelled with the weight versions that its engine stated, or it is discarded. Work items
+  are named a, b, c in the order of their start. `7/5` is 5 tokens of version 7, `?/3` is 3 tokens without
+  a stated version, `3<10` is sample 3 resumed after 10 tokens, and `!` marks a hedge.
 
-  Scenario Outline: A label follows from the pieces of a sample
+  Scenario Outline: A label is built from the pieces of a sample
     When a sample resumed from <resumed> is made of the pieces <pieces>
     And the sample's engine read <before> before and <after> after, <orders> order open
     Then the sample's label is <label>
@@ -16,13 +18,13 @@
       | 6/4     | 7/3             | nothing | nothing | an     | 6/4 7/3       |
       | 6/4 7/1 | 7/3             | nothing | nothing | an     | 6/4 7/4       |
 
-    Examples: unstated pieces that can be settled
+    Examples: pieces without a version whose version can be determined
       | resumed | pieces      | before | after | orders | label   |
       | nothing | ?/3         | 7      | 7     | no     | 7/3     |
       | nothing | 7/3 ?/2 7/1 | 7      | 7     | no     | 7/6     |
       | 6/4     | ?/3         | 7      | 7     | no     | 6/4 7/3 |
 
-    Examples: labels that can't be known
+    Examples: labels that can't be determined
       | resumed | pieces   | before  | after   | orders | label         |
       | nothing | 7/3 ?/1  | nothing | nothing | no     | unstated      |
       | nothing | ?/3      | 7       | nothing | no     | unstated      |
@@ -34,15 +36,15 @@
       | nothing | -7/3     | 7       | 7       | no     | contradiction |
       | nothing | 7/0      | 7       | 7       | no     | empty         |
 
-  Scenario Outline: Work that broke off is resumed where its label is known
-    # The trainer sees one whole sample whose label names both makers. An engine crashed midway; its
-    # text is resumed elsewhere, unless what made it is unknown, since the label would be a guess.
+  Scenario Outline: Failed work is resumed if the label of its text is known
+    # Guards against wrong labels when an engine crashes midway. The text is resumed on another engine
+    # and labelled with the versions of both. If its label is unknown, the sample is generated again.
     Given a collector of 2 samples, staleness bound 1
     When its sample events are pull 7, start 2, <events>, start, whole c 8/3, pull 7
     Then the samples started were 0 1 <work>
     And the sample pulls were answered empty; <answer>
     And the last delivered sample's text is "<text>"
-    And 0 samples were counted stale and <remade> made anew
+    And 0 samples were counted stale and <remade> generated again
 
     Examples:
       | events                                  | work  | answer           | text           | remade |
@@ -56,7 +58,7 @@
       | whole a 7/0, after 1                    | 0     | 0:8/3            | <c0>           | 0      |
       | tokens a 7/5, broke a, tokens a 7/9, done a | 0<5 | 0:7/5+8/3      | <a0><c0>       | 0      |
 
-  Scenario Outline: The end of work is judged
+  Scenario Outline: Outcomes of finished work
     Given a collector of 2 samples, staleness bound 1
     When its sample events are pull 7, start 2, <events>
     Then the finished samples were <outcomes>
@@ -73,7 +75,7 @@
       | tokens a 7/3, pull 7 0, done a       | not-wanted        |
       | close, whole a 7/3                   | not-wanted        |
 
-  Scenario Outline: Work that failed without a token waits before it is tried again
+  Scenario Outline: Work that failed without a token is retried after a growing delay
     Given a collector of 1 samples, staleness bound 1
     When its sample events are pull 7, start, broke a, <events>
     Then the samples started were 0 <works>
@@ -85,9 +87,9 @@
       | after 0.1, start, broke b, after 0.09, start | 0 none      |
       | after 0.1, start, broke b, after 0.2, start  | 0 0         |
 
-  Scenario Outline: Texts are bounded, one by one, in an answer and in all
-    # The trainer sees short answers, and none of a runaway text. What waits for a trainer that does
-    # not pull is bounded: nothing more is started until it says that it holds some.
+  Scenario Outline: The length of texts is bounded for one sample, for one answer and in total
+    # Guards against unbounded memory: a text that is too long is discarded, and no work is started
+    # while too much text is pending delivery to a trainer that does not pull.
     Given a collector of 20 samples, staleness bound 1
     When its sample events are pull 7, <events>
     Then the samples started were <works>
@@ -99,7 +101,7 @@
       | start 2, flood a 4194304, flood b 4194304, done a, done b, pull 7, pull 7 0 | 0 1 | ; 0:7/1; 1:7/1 |
       | start 16, fill 16, start, pull 7 0, start                                | 0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 none 16 | ; 1:7/1 2:7/1 3:7/1 4:7/1 |
 
-  Scenario Outline: The longest predicted sample starts first, and groups in turn
+  Scenario Outline: Samples start by predicted length, longest first, and equal groups take turns
     Given a collector of 3 groups of 3 samples, hedges of 0 percent
     When its sample events are pull 7, <events>
     Then the samples started were <works>
@@ -111,9 +113,9 @@
       | start 3, whole a 7/9, whole b 7/900, whole c 7/9, tokens a 7/9, pull 7 4-5, start 2 | 0 3 6 1 7 |
       | start 3, tokens b 7/5, broke b, start 2                       | 0 3 6 3<5 1         |
 
-  Scenario Outline: A straggler on a slow engine is hedged, and the first whole answer wins
-    # The trainer sees the step whole although one engine is ten times slower than the others. The
-    # same sample runs twice from its text so far; whichever ends first is kept, once.
+  Scenario Outline: A straggler on a slow engine is hedged, and the first complete answer is kept
+    # Guards against steps delayed by an engine that is ten times slower than the others. A second
+    # attempt at the sample resumes from its text so far; the first one to end is kept, once.
     Given a collector of 1 groups of 8 samples, hedges of 50 percent
     When its sample events are pull 7, start 8, after 10, whole a 7/100, whole b 7/100, whole c 7/100, whole d 7/100, whole e 7/100, whole f 7/100, whole g 7/100, tokens h 7/10, after 50, <events>
     Then the samples started were 0 1 2 3 4 5 6 7 <works>
@@ -130,7 +132,7 @@
       | start, pull 7 0-7                                             | 7<10!     | h i       | complete             |
       | start, pull 10, start                                         | 7<10! 0   | h i       | empty                |
 
-  Scenario Outline: Hedges keep to their budget, and length alone is no reason
+  Scenario Outline: Hedges stay within their token budget, and a long text alone is not a straggler
     Given a collector of 1 groups of 8 samples, hedges of <percent> percent
     When its sample events are pull 7, start 8, after 10, whole a 7/100, whole b 7/100, whole c 7/100, whole d 7/100, whole e 7/100, whole f 7/100, after 50, <events>
     Then the samples started were 0 1 2 3 4 5 6 7 <works>
@@ -148,10 +150,10 @@
       | 12      | tokens h 7/10, start, after 1, tokens i 7/97             | 7<10!       | h         |
       | 12      | tokens h 7/10, start, after 1, tokens h 7/80, tokens i 7/3, after 100, tokens i 7/94 | 7<10! | i |
 
-  Scenario Outline: A straggler that may not be hedged is moved with its text
-    # The trainer sees the step whole although an engine hangs and the budget is spent. The text so
-    # far is resumed on another engine and the old attempt is cancelled, so no token is made twice.
-    Given a collector of 1 groups of 8 samples, hedges of <percent> percent, then moves
+  Scenario Outline: A straggler that can't be hedged is migrated with its text
+    # Guards against steps delayed by an engine that hangs when the hedge budget is spent. The text so
+    # far is resumed on another engine and the old attempt is cancelled, so no token is generated twice.
+    Given a collector of 1 groups of 8 samples, hedges of <percent> percent, then migration
     When its sample events are pull 7, start 8, after 10, whole a 7/100, whole b 7/100, whole c 7/100, whole d 7/100, whole e 7/100, whole f 7/100, whole g 7/100, after 50, <events>
     Then the samples started were 0 1 2 3 4 5 6 7 <works>
     And the sample work cancelled was <cancelled>
--- a/features/samples_matrix.feature
+++ b/features/samples_matrix.feature
@@ -1,21 +1,21 @@
-Feature: Samples reach their trainer once, fresh and truthfully labelled, whatever fails where
+Feature: Samples reach their trainer once, not stale and correctly labelled, whatever fails
 
-  # A trainer takes one step of 16 samples of 32 tokens; two engines of four slots make them, so
-  # half of them wait at first. Engines that pause, and relays that hold an answer, keep the samples
-  # at a step of their way; there the faults come in the order of the row. `released` ends that hold.
-  # "In vain" are tokens beyond those of one step; `unheld` are those of the samples that the trainer
-  # did not hold at that moment: a collector that is lost costs these once, and never a held one.
+  # A trainer takes one step of 16 samples of 32 tokens. Two engines with four slots each generate them,
+  # so half of them wait at first. Paused engines and relays that hold an answer keep the samples at a
+  # named stage; the faults of the row then occur in order, and `released` ends the hold.
+  # Wasted tokens are those beyond one step's; `unheld` stands for the tokens of the samples that the
+  # trainer did not hold at that moment: a lost collector wastes these once, and never a held sample.
 
   Scenario Outline: The collecting entry fails
-    # The trainer's open call fails or is answered "step unknown". It puts the step at the next entry,
-    # which knows nothing but what the trainer says it holds, and begins the others anew.
+    # The trainer's pending call fails or is answered "step unknown". The trainer registers the step at
+    # the next entry, which learns from it which samples are held and generates the others again.
     Given a samples deployment
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | stage          | faults                                                                | vain         |
+      | stage          | faults                                                                | wasted       |
       | put            | entry-a killed, released                                              | unheld       |
       | dispatched     | entry-a killed, entry-a restarted, released                           | unheld       |
       | streaming      | entry-a killed, released                                              | unheld       |
@@ -30,15 +30,15 @@
       | partly held    | entry-a told-to-stop, released, entry-a ended, entry-b told-to-stop, entry-a restarted | unheld-twice |
 
   Scenario Outline: A sidecar fails
-    # The entry sees the link end, keeps what was streamed, and resumes the samples elsewhere. The
-    # trainer sees nothing but a later answer. A sidecar that stops ends what it runs.
+    # The entry detects that the link closed, keeps the streamed text and resumes the samples on another
+    # engine; the trainer only gets a later answer. A sidecar that stops as planned finishes its work.
     Given a samples deployment
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | stage          | faults                                                                | vain |
+      | stage          | faults                                                                | wasted |
       | dispatched     | designs-a killed, designs-a restarted, released                       | 128  |
       | streaming      | designs-a killed, designs-b killed, designs-a restarted, designs-b restarted, released | 128  |
       | swapped        | designs-a killed, released, designs-a restarted                       | 128  |
@@ -48,15 +48,15 @@
       | answered again | designs-a killed, designs-b killed, released, designs-a restarted, designs-b restarted | 256  |
 
   Scenario Outline: An engine fails
-    # Streams break off, and what was streamed is resumed on whichever engine is in rotation. An
-    # engine that starts anew has its first weights until its sidecar loads the version in force.
+    # Streams break off, and the samples are resumed from the streamed text on any engine in rotation.
+    # A restarted engine has its initial weights until its sidecar loads the version in force.
     Given a samples deployment
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | stage       | faults                                                                     | vain |
+      | stage       | faults                                                                     | wasted |
       | put         | designs-a-engine cuts-streams, designs-b-engine cuts-streams, released     | 0    |
       | streaming   | designs-a-engine killed, released, designs-a-engine restarted              | 0    |
       | swapped     | designs-a-engine killed, designs-a-engine restarted, released              | 0    |
@@ -64,15 +64,15 @@
       | partly held | designs-b-engine killed, designs-a killed, released, designs-a restarted, designs-b-engine restarted | 0    |
 
   Scenario Outline: A connection fails
-    # An answer that is lost, cut or damaged counts for nothing: the trainer does not name its samples
-    # as held, and they are sent again. A trainer that gives up on an entry moves to the other one.
+    # After a lost, truncated or damaged answer the trainer does not list its samples as held, and they
+    # are sent again. A trainer that gives up on an entry switches to the other one.
     Given a samples deployment
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | stage          | faults                                                                | vain   |
+      | stage          | faults                                                                | wasted |
       | put            | trainer-entry-a dropped, released                                     | unheld |
       | answered       | trainer-entry-a dropped, released                                     | unheld |
       | answered again | trainer-entry-a dropped, released                                     | unheld |
@@ -87,15 +87,15 @@
       | dispatched     | service-designs-a holds-answers, released, service-designs-a healed   | 128    |
 
   Scenario Outline: The platform fails
-    # The way of a sample needs no append: a log that is down or slow delays nothing. What is replaced
-    # meanwhile learns the contracts from its peers. Without the weight store engines keep their weights.
+    # Collecting samples appends nothing to the log, so a log that is down or slow delays nothing. Restarted
+    # processes get the contracts from their peers. Without the weight store engines keep their weights.
     Given a samples deployment where <before>
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | before        | stage       | faults                                                       | vain   |
+      | before        | stage       | faults                                                       | wasted |
       | log refuses   | streaming   | released                                                     | 0      |
       | log hangs     | partly held | designs-b killed, designs-b restarted, released              | 128    |
       | log slow      | swapped     | entry-a killed, released                                     | unheld |
@@ -103,26 +103,26 @@
       | weights hangs | streaming   | announced 2, designs-a-engine killed, designs-a-engine restarted, released | 0      |
 
   Scenario Outline: Two entries collect the same step
-    # The trainer moves to the other entry, gets samples there, and comes back to the first, which has
-    # gone on and has the same numbers ready. Each answer leaves out what that very pull says is held.
+    # The trainer switches to the other entry, gets samples there, and returns to the first, which has
+    # generated the same samples. Each answer leaves out the samples that its own pull lists as held.
     Given a samples deployment
-    When the samples of trainer near have come to <stage>
-    And the samples meet <faults>
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
+    When the samples of trainer near have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
 
     Examples:
-      | stage       | faults                                                                         | vain   |
+      | stage       | faults                                                                         | wasted |
       | finished    | trainer-entry-a cut, trainer-at entry-b, held 4, trainer-entry-a healed, trainer-entry-b cut, released | unheld |
       | partly held | trainer-entry-a cut, trainer-at entry-b, released, held 12, trainer-entry-a healed, trainer-entry-b cut | unheld |
 
   Scenario Outline: The trainer's version rises in the middle of a step
-    # All 16 samples wait at the entry when the trainer takes four and raises its version. Those that
-    # are now older than its bound are made again, and none of the others.
+    # All 16 samples are pending at the entry when the trainer takes four and raises its version. Only
+    # the samples that now exceed its staleness bound are generated again.
     Given a samples deployment
-    When trainer <trainer>, started with --raises <raises>, has its samples come to finished
-    And the samples meet released
-    Then trainer process trainer has every sample of 1 steps once, fresh and true
-    And <made> whole samples were made in all
+    When trainer <trainer> starts with --raises <raises> and its samples have reached stage finished
+    And these deployment events occur: released
+    Then trainer process trainer receives every sample of 1 steps once, not stale and correctly labelled
+    And <made> complete samples were generated in total
 
     Examples:
       | trainer | raises | made |
@@ -133,12 +133,12 @@
       | far     | 3      | 28   |
 
   Scenario Outline: The version rises under a fault
-    # The trainer takes four samples and raises its version; what streams and what waits becomes too
-    # old while its entry or an engine fails. Nothing too old is delivered by whoever goes on.
+    # The trainer takes four samples and raises its version. Streams and pending samples become stale
+    # while the entry or an engine fails. Guards against a stale sample from the process that takes over.
     Given a samples deployment
-    When trainer <trainer>, started with --raises <raises>, has its samples come to <stage>
-    And the samples meet <faults>
-    Then trainer process trainer has every sample of 1 steps once, fresh and true
+    When trainer <trainer> starts with --raises <raises> and its samples have reached stage <stage>
+    And these deployment events occur: <faults>
+    Then trainer process trainer receives every sample of 1 steps once, not stale and correctly labelled
 
     Examples:
       | trainer | raises | stage    | faults                                                              |
@@ -148,57 +148,57 @@
       | near    | 2      | finished | trainer-entry-a cuts-an-answer, released, designs-b killed, designs-b restarted |
 
   Scenario Outline: Weights change in mid-stream, with either objective
-    # Each stream has a quarter of its tokens when its engine changes weights. For a trainer that weighs
-    # staleness more, these are given up and the sample is made anew; else the sample has both versions.
+    # Each stream has a quarter of its tokens when its engine changes weights. For a trainer with the
+    # objective staleness they are discarded and generated again; otherwise the sample has both versions.
     Given a samples deployment
-    When the samples of trainer <trainer> have come to swapped
-    And the samples meet released
-    Then the samples arrive once, fresh and true, with <vain> tokens made in vain at most
-    And the oldest of the samples was <staleness> versions old
+    When the samples of trainer <trainer> have reached stage swapped
+    And these deployment events occur: released
+    Then the samples arrive once, not stale and correctly labelled, with at most <wasted> wasted tokens
+    And the stalest sample was <staleness> versions old
 
     Examples:
-      | trainer | staleness | vain |
+      | trainer | staleness | wasted |
       | current | 0         | 256  |
       | near    | 1         | 0    |
 
-  Scenario Outline: The trainer starts anew
-    # Its new run has a higher incarnation and what its checkpoint holds. The step is made for it but
-    # for what it has; or it takes an older step again, which its earlier run had left behind.
+  Scenario Outline: The trainer restarts
+    # Its new run has a higher incarnation and the samples of its checkpoint. Only the other samples of
+    # the step are generated for it; or it repeats an older step, which its earlier run had completed.
     Given a samples deployment
-    When trainer near, started with --first-step 5, has its samples come to partly held
-    And the samples meet <faults>
-    And the trainer of the samples is killed and started anew with --incarnation 2 <flags>
-    And the samples meet <after>
+    When trainer near starts with --first-step 5 and its samples have reached stage partly held
+    And these deployment events occur: <faults>
+    And the trainer of the samples is killed and restarted with --incarnation 2 <flags>
+    And these deployment events occur: <after>
     Then <result>
 
     Examples:
       | faults         | flags                                          | after    | result                                                                       |
-      | peers 2        | --first-step 5 --held {held}                   | released | the restarted trainer has the rest of its samples once, fresh and true       |
-      | entry-a killed | --first-step 5 --held {held} --states-held     | released | the restarted trainer has the rest of its samples once, fresh and true       |
-      | log refuses    | --first-step 4 --steps 2                       | released | trainer process trainer has every sample of 2 steps once, fresh and true     |
+      | peers 2        | --first-step 5 --held {held}                   | released | the restarted trainer receives its remaining samples once, not stale and correctly labelled |
+      | entry-a killed | --first-step 5 --held {held} --states-held     | released | the restarted trainer receives its remaining samples once, not stale and correctly labelled |
+      | log refuses    | --first-step 4 --steps 2                       | released | trainer process trainer receives every sample of 2 steps once, not stale and correctly labelled |
 
   Scenario Outline: Two runs of a trainer at the same time
-    # The older run never noticed its replacement. It is told so once the newer has been heard, and ends;
-    # while the log is down, another entry does not know yet. Neither gets anything twice.
+    # The older run is refused as superseded and ends once its entry knows of the newer one; while the
+    # log is down, another entry does not learn of it. Neither run gets a sample twice.
     Given a samples deployment
-    When the samples of trainer near have come to partly held
-    And the samples meet <faults>
+    When the samples of trainer near have reached stage partly held
+    And these deployment events occur: <faults>
     And a second trainer near of the samples starts at <entry>
-    And the samples meet second-put <entry>, <after>
-    Then trainer process second has every sample of 1 steps once, fresh and true
+    And these deployment events occur: second-put <entry>, <after>
+    Then trainer process second receives every sample of 1 steps once, not stale and correctly labelled
     And <first>
 
     Examples:
       | faults      | entry   | after    | first                                                                        |
-      | peers 2     | entry-a | exited trainer, released | the trainer process trainer of the samples ends as superseded, with nothing twice |
-      | peers 2     | entry-b | exited trainer, released | the trainer process trainer of the samples ends as superseded, with nothing twice |
-      | log refuses | entry-b | released | trainer process trainer has every sample of 1 steps once, fresh and true     |
+      | peers 2     | entry-a | exited trainer, released | trainer process trainer ends as superseded, without a duplicate sample |
+      | peers 2     | entry-b | exited trainer, released | trainer process trainer ends as superseded, without a duplicate sample |
+      | log refuses | entry-b | released | trainer process trainer receives every sample of 1 steps once, not stale and correctly labelled |
 
   Scenario: A step is registered again with other groups
-    # A second process under the same name sends other prompts for the step. It is refused, and the
-    # samples of the first registration arrive as if nothing had been sent.
+    # A second process under the same trainer name registers the step with other prompts. It is refused,
+    # and the samples of the first registration arrive unaffected.
     Given a samples deployment
-    When the samples of trainer near have come to partly held
+    When the samples of trainer near have reached stage partly held
     Then a registration of the samples' step with other groups at entry-a is a conflict
-    When the samples meet released
-    Then the samples arrive once, fresh and true, with 0 tokens made in vain at most
+    When these deployment events occur: released
+    Then the samples arrive once, not stale and correctly labelled, with at most 0 wasted tokens
--- a/features/steps/pulls_steps.py
+++ b/features/steps/pulls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for pulls in flight together and for written answers."""
+"""Steps for concurrent pulls and for the encoding of answers."""
 
 import base64
 import concurrent.futures
--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the registry of steps, and a random test of the whole against a model trainer."""
+"""Steps for the step registry, and a randomised test of it against a model trainer."""
 
 import collections
 import random
@@ -24,7 +24,7 @@
     context.sample_answers = []
 
 
-@behave.when("these sample steps are put: {words}")
+@behave.when("these sample steps are registered: {words}")
 def put_steps(context, words):
     known = context.sample_registry
     for word in words.split():
@@ -66,7 +66,7 @@
         assert context.sample_registry.find("caroni", item.trainer, item.step) is not None
 
 
-@behave.then("{count:d} pieces of work of the sample registry are cancelled, each once")
+@behave.then("{count:d} work items of the sample registry are cancelled, each once")
 def check_cancelled(context, count):
     taken = context.sample_registry.take_cancellations()
     assert len(set(taken)) == len(taken) == count, taken
@@ -74,7 +74,7 @@
 
 
 class _Engine:
-    """The truth of one attempt: what the engine really made, whatever became of it."""
+    """One attempt, with the versions that its engine used, whether stated or not."""
 
     def __init__(self, collector, work, lag):
         self.collector = collector
@@ -84,7 +84,11 @@
 
 
 class TrainerModel:
-    """A trainer, its engines and two entries; each token is the name of the version it is of."""
+    """
+    A model of a trainer, its engines and two entries.
+
+    The text of each token is its weight version in brackets, so that labels can be checked.
+    """
 
     EVENTS = {
         "start_work": 30,
@@ -136,7 +140,7 @@
         return self._choose_entry().find("caroni", "a", self.step)
 
     def _choose_entry(self):
-        """Return the entry that the trainer uses, or now and then the one it left."""
+        """Return the entry that the trainer uses, or with probability 0.1 the other one."""
         return self.entries[self.random.random() < 0.1]
 
     def _put(self, entry=None):
@@ -183,7 +187,7 @@
         self.seen["redundant"] += len(done.redundant_work_ids)
 
     def _finish_late(self):
-        """Repeat the end of work that is over, with more text."""
+        """Send more text, and the end of the stream again, for work that has already ended."""
         if self.ended:
             engine = self.random.choice(self.ended)
             engine.collector.record_progress(engine.work.work_id, "late", 1, self.engine_version)
@@ -232,7 +236,7 @@
         self.in_flight = None
 
     def _replay_old_pull(self):
-        """Let a pull arrive that the trainer gave up on long ago."""
+        """Deliver an outdated pull that the trainer gave up on long ago."""
         collector = self._choose_collector()
         if collector is not None:
             self._send_pull(collector, 7, frozenset(list(self.held)[:1]))
@@ -261,7 +265,7 @@
         self.held = {}
 
     def _end_well(self):
-        """Let everything go well from here: the step must become complete."""
+        """Play events without faults until the step is complete; fail if it never is."""
         entry, step = self._create_entry(), self.step
         self.entries = [entry, entry]
         for _ in range(200):
@@ -287,10 +291,10 @@
 
 
 @behave.then(
-    "no sample was lost, doubled, stale or wrongly labelled, and each kind of event had occurred"
+    "no sample was lost, duplicated, stale or wrongly labelled, and each kind of event occurred"
 )
 def check_model(context):
-    """Check that the run, which raises at a fault, was no idle one."""
+    """Check that each kind of event occurred; the run itself raises an error at any violation."""
     kinds = "complete kept unknown-label not-wanted hedge redundant resumed lost unknown"
     kinds += f" {metrics.SAMPLES_STALE} {metrics.SAMPLES_REMADE}"
     missing = [kind for kind in kinds.split() if not context.sample_model.seen[kind]]
--- a/features/steps/sample_steps_readers_steps.py
+++ b/features/steps/sample_steps_readers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for reading what trainers send."""
+"""Steps for parsing the requests of trainers."""
 
 import json
 
--- a/features/steps/samples_matrix_steps.py
+++ b/features/steps/samples_matrix_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the fault matrix of samples: a step of their way, faults there, what arrived."""
+"""Steps of the fault matrix of samples: reach a stage, inject faults, check what arrives."""
 
 import signal
 
@@ -63,7 +63,7 @@
 
 
 def _act(context, text):
-    """Carry out one fault or wait, such as `entry-a killed` or `peers 1`."""
+    """Inject one fault or wait for one condition, such as `entry-a killed` or `peers 1`."""
     first, _, second = text.partition(" ")
     if first in _WAITS or second in _WAITS:
         name, argument = (first, second) if first in _WAITS else (second, first)
@@ -87,23 +87,23 @@
     meet_faults(context, faults)
 
 
-@behave.when("the samples of trainer {trainer} have come to {stage}")
+@behave.when("the samples of trainer {trainer} have reached stage {stage}")
 def bring_samples(context, trainer, stage):
     context.sample_trials.bring_to(stage, trainer, ())
 
 
-@behave.when("trainer {trainer}, started with {flags}, has its samples come to {stage}")
+@behave.when("trainer {trainer} starts with {flags} and its samples have reached stage {stage}")
 def bring_samples_with(context, trainer, stage, flags):
     context.sample_trials.bring_to(stage, trainer, flags.split())
 
 
-@behave.step("the samples meet {faults}")
+@behave.step("these deployment events occur: {faults}")
 def meet_faults(context, faults):
     for fault in faults.split(","):
         _act(context, fault.strip())
 
 
-@behave.step("the trainer of the samples is killed and started anew with {flags}")
+@behave.step("the trainer of the samples is killed and restarted with {flags}")
 def restart_trainer(context, flags):
     context.deployment.cluster.kill("trainer")
     held = context.sample_trials.read_held("trainer")
@@ -118,7 +118,10 @@
     context.sample_trials.start_trainer("second", name, (entry,), *flags)
 
 
-@behave.then("trainer process {name} has every sample of {steps:d} steps once, fresh and true")
+@behave.then(
+    "trainer process {name} receives every sample of {steps:d} steps once, not stale and"
+    " correctly labelled"
+)
 def check_whole(context, name, steps, of_checkpoint=0):
     code, summary = context.sample_trials.await_end(name)
     assert code == 0 and not summary["problems"], summary
@@ -128,43 +131,48 @@
     context.samples_summary = summary
 
 
-@behave.then("the samples arrive once, fresh and true, with {vain} tokens made in vain at most")
-def check_arrived(context, vain):
+@behave.then(
+    "the samples arrive once, not stale and correctly labelled, with at most {wasted}"
+    " wasted tokens"
+)
+def check_arrived(context, wasted):
     check_whole(context, "trainer", 1)
-    check_made(context, vain)
+    check_made(context, wasted)
 
 
-@behave.then("of the samples {vain} tokens were made in vain at most")
-def check_made(context, vain):
+@behave.then("at most {wasted} sample tokens were wasted")
+def check_made(context, wasted):
     trials = context.sample_trials
     unheld = (sample_trials.SAMPLES - trials.held_then) * sample_trials.SAMPLE_TOKENS
     named = {"unheld": unheld, "unheld-twice": 2 * unheld}
-    most = named[vain] if vain in named else int(vain)
+    most = named[wasted] if wasted in named else int(wasted)
     made = trials.count_tokens() - sample_trials.SAMPLES * sample_trials.SAMPLE_TOKENS
     assert made <= most, f"{made} tokens beyond a step's, {trials.held_then} samples were held"
 
 
-@behave.then("the restarted trainer has the rest of its samples once, fresh and true")
+@behave.then(
+    "the restarted trainer receives its remaining samples once, not stale and correctly labelled"
+)
 def check_rest(context):
     held = context.sample_trials.held_then
     assert held > 0
     check_whole(context, "trainer", 1, held)
 
 
-@behave.then("the trainer process {name} of the samples ends as superseded, with nothing twice")
+@behave.then("trainer process {name} ends as superseded, without a duplicate sample")
 def check_superseded(context, name):
     code, summary = context.sample_trials.await_end(name)
     assert code == _SUPERSEDED and summary["superseded"], (code, summary)
     assert summary["duplicates"] == 0 and not summary["problems"], summary
 
 
-@behave.then("{made:d} whole samples were made in all")
+@behave.then("{made:d} complete samples were generated in total")
 def check_made_in_all(context, made):
     tokens = context.sample_trials.count_tokens()
     assert tokens == made * sample_trials.SAMPLE_TOKENS, tokens
 
 
-@behave.then("the oldest of the samples was {staleness:d} versions old")
+@behave.then("the stalest sample was {staleness:d} versions old")
 def check_oldest(context, staleness):
     assert context.samples_summary["staleness_max"] == staleness, context.samples_summary
 
--- a/features/steps/samples_steps.py
+++ b/features/steps/samples_steps.py
@@ -43,7 +43,7 @@
 
 
 class SampleDriver:
-    """Plays a trainer and the engines against one collector; works are named a, b, c..."""
+    """Plays a trainer and the engines against one collector; work items are named a, b, c..."""
 
     def __init__(self, groups, bound, held_text=None, policy=None):
         self.now = 0.0
@@ -198,7 +198,7 @@
     assert shown == names, shown
 
 
-@behave.then("{stale:d} samples were counted stale and {remade:d} made anew")
+@behave.then("{stale:d} samples were counted stale and {remade:d} generated again")
 def check_counts(context, stale, remade):
     driver = context.sample_driver
     shown = driver.count(metrics.SAMPLES_STALE), driver.count(metrics.SAMPLES_REMADE)
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for texts at engines that turn slow, in simulated time."""
+"""Steps for texts on engines that become slow, in simulated time."""
 
 import behave
 
@@ -9,11 +9,11 @@
 _SHORT_PIECES = 10
 _SHORT_TEXTS = 20
 _TICK_SECONDS = 0.05
-"""How often the runner looks for something to start."""
+"""The interval at which the simulated runner asks for work to start."""
 
 
 class SimulatedStep:
-    """Short texts that are whole, and a long one that is being made."""
+    """A step of finished short texts and one long text that is still being generated."""
 
     def __init__(self, gap_ms, wait_ms):
         self._gap = gap_ms / 1000
@@ -30,7 +30,7 @@
             self._make_short(work, wait_ms / 1000)
 
     def find_moved(self, pieces):
-        """Return how many pieces were made when it was moved, or nothing if it never was."""
+        """Return how many pieces the long text had when it was moved, or None if it never was."""
         made = 0
         now = 0.0
         while made < len(pieces):
@@ -45,7 +45,7 @@
         return None
 
     def list_pieces(self, count, wait=0.0, slow_after=0, slower=1.0, pause=0.0):
-        """Return when each piece of the long text is made if it stays."""
+        """Return the times at which the pieces of the long text arrive if it is not moved."""
         times = []
         now = wait
         for number in range(count):
@@ -56,7 +56,7 @@
         return times
 
     def open_spare(self, slower):
-        """Let an engine have a place that is so many times slower than the usual one."""
+        """Offer a free slot on an engine that is `slower` times slower than a normal one."""
         self.spare_rate = _PIECE_TOKENS / (self._gap * slower)
 
     def _make_short(self, work, wait):
@@ -70,7 +70,8 @@
 
 
 @behave.given(
-    "engines that make a piece in {gap:d} ms, and 20 texts of 10 pieces that waited {wait:d} ms"
+    "engines that generate a piece in {gap:d} ms,"
+    " and 20 texts of 10 pieces that waited {wait:d} ms"
 )
 def create_step(context, gap, wait):
     context.step = SimulatedStep(gap, wait)
@@ -90,7 +91,7 @@
     context.pieces = context.step.list_pieces(count, slow_after=after, pause=pause / 1000)
 
 
-@behave.given("an engine with a place that is {slower:g} times slower than the usual one")
+@behave.given("an engine with a free slot that is {slower:g} times slower than the normal one")
 def open_spare(context, slower):
     context.step.open_spare(slower)
 
@@ -105,7 +106,7 @@
     context.pieces = context.step.list_pieces(count, wait=wait / 1000)
 
 
-@behave.then("the text is moved before it has made {pieces:d} pieces")
+@behave.then("the text is moved before it has {pieces:d} pieces")
 def check_moved(context, pieces):
     made = context.step.find_moved(context.pieces)
     assert made is not None and made < pieces, made
--- a/features/stragglers.feature
+++ b/features/stragglers.feature
@@ -1,14 +1,14 @@
-Feature: Texts at engines that turn slow, at any speed of the engines
-  Engines make a piece of 64 tokens each few milliseconds; times below are given in pieces of a usual
-  engine. A text is moved to another engine with what was made of it.
+Feature: Stragglers on engines that become slow, at any speed of the engines
+  Engines generate a piece of 64 tokens every few milliseconds. Bounds are given in pieces of a normal
+  engine. A text is moved to another engine together with its pieces so far.
 
-  Scenario Outline: A long text leaves an engine that turns slow while its step can still be in time
-    # The step waits for one long text. Its engine becomes three times slower for seconds; the text
-    # stays there, the step is late, and the trainer falls behind for the rest of the day. It may
-    # lose half of its own time, 50 pieces' worth, and all of it where that is little over a second.
-    Given engines that make a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
+  Scenario Outline: A long text is moved off an engine that becomes slow
+    # Guards against a step that waits for one long text whose engine becomes three times slower: the
+    # step is late and the trainer falls behind for the rest of the day. The text may lose half of its
+    # own time, 50 pieces, or all of it if that is little over a second.
+    Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
     And a text of 100 pieces whose engine turns <slower> times slower after 30 pieces
-    Then the text is moved before it has made <pieces> pieces
+    Then the text is moved before it has <pieces> pieces
 
     Examples:
       | gap | wait | slower | pieces |
@@ -21,10 +21,10 @@
       | 75  | 800  | 10     | 55     |
       | 225 | 2000 | 3      | 55     |
 
-  Scenario Outline: What another engine would do no better stays where it is
-    # Each move has its text read again elsewhere and costs a connection. Texts that are moved for a
-    # short pause, or that wait no longer than all others, come no sooner for it.
-    Given engines that make a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
+  Scenario Outline: A text that another engine would not finish sooner is not moved
+    # Guards against useless moves, each of which costs a connection and makes another engine process
+    # the text again: after a short pause, or for a text that waits no longer than all others.
+    Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
     And a text of 100 pieces <what>
     Then the text is not moved
 
@@ -38,12 +38,12 @@
       | 37  | 1200 | that waits for 1500 ms                                     |
       | 75  | 2000 | that waits for 3000 ms                                     |
 
-  Scenario Outline: A long text moves to a faster engine that has a place, if it ends sooner there
+  Scenario Outline: A long text is moved to a faster engine with a free slot if it ends sooner there
     # Guards against steps that wait for one long text on a slow engine while faster ones are idle.
-    Given engines that make a piece in <gap> ms, and 20 texts of 10 pieces that waited 0 ms
+    Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited 0 ms
     And a text of 160 pieces at an engine that is <here> times slower
-    And an engine with a place that is <there> times slower than the usual one
-    Then the text is moved before it has made <pieces> pieces
+    And an engine with a free slot that is <there> times slower than the normal one
+    Then the text is moved before it has <pieces> pieces
 
     Examples:
       | gap | here | there | pieces |
@@ -52,11 +52,11 @@
       | 75  | 1.3  | 1     | 80     |
       | 75  | 1.3  | 0.8   | 80     |
 
-  Scenario Outline: A text stays where a faster engine would gain it little
-    # Guards against texts that are read again and again for nothing.
-    Given engines that make a piece in <gap> ms, and 20 texts of 10 pieces that waited 0 ms
+  Scenario Outline: A text is not moved if a faster engine would save little time
+    # Guards against repeated moves, each of which makes an engine process the text again.
+    Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited 0 ms
     And a text of <count> pieces at an engine that is <here> times slower
-    And an engine with a place that is <there> times slower than the usual one
+    And an engine with a free slot that is <there> times slower than the normal one
     Then the text is not moved
 
     Examples:
