--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the registry of steps, and a random test of the whole against a model trainer."""
+"""Steps for the step registry, and a randomised test of it against a model trainer."""
 
 import collections
 import random
@@ -24,14 +24,14 @@
     context.sample_answers = []
 
 
-@behave.when("these sample steps are put: {words}")
+@behave.when("these sample steps are registered: {words}")
 def put_steps(context, words):
     known = context.sample_registry
     for word in words.split():
         kind, _, rest = word.rpartition(":")
         trainer, (incarnation, _, number) = rest[0], rest[1:].partition("/")
         if kind == "heard":
-            known.note_incarnation("caroni", trainer, int(incarnation))
+            known.record_incarnation("caroni", trainer, int(incarnation))
         elif kind == "deleted":
             known.delete("caroni", trainer, int(number))
         elif kind == "silent":
@@ -42,7 +42,7 @@
         else:
             prompt = number[1:] or "p"
             step = _create_step(trainer, int(incarnation), int(number[0]), prompt)
-            answer = known.put(step, _TERMS)
+            answer = known.register(step, _TERMS)
             context.sample_answers.append(answer.ok if answer.is_ok() else answer.error)
 
 
@@ -66,7 +66,7 @@
         assert context.sample_registry.find("caroni", item.trainer, item.step) is not None
 
 
-@behave.then("{count:d} pieces of work of the sample registry are cancelled, each once")
+@behave.then("{count:d} work items of the sample registry are cancelled, each once")
 def check_cancelled(context, count):
     taken = context.sample_registry.take_cancellations()
     assert len(set(taken)) == len(taken) == count, taken
@@ -74,7 +74,7 @@
 
 
 class _Engine:
-    """The truth of one attempt: what the engine really made, whatever became of it."""
+    """One attempt, with the versions that its engine used, whether stated or not."""
 
     def __init__(self, collector, work, lag):
         self.collector = collector
@@ -84,7 +84,11 @@
 
 
 class TrainerModel:
-    """A trainer, its engines and two entries; each token is the name of the version it is of."""
+    """
+    A model of a trainer, its engines and two entries.
+
+    The text of each token is its weight version in brackets, so that labels can be checked.
+    """
 
     EVENTS = {
         "start_work": 30,
@@ -136,7 +140,7 @@
         return self._choose_entry().find("caroni", "a", self.step)
 
     def _choose_entry(self):
-        """Return the entry that the trainer uses, or now and then the one it left."""
+        """Return the entry that the trainer uses, or with probability 0.1 the other one."""
         return self.entries[self.random.random() < 0.1]
 
     def _put(self, entry=None):
@@ -144,7 +148,7 @@
         held = frozenset(self.held) if self.random.random() < 0.5 else None
         names = ("caroni", "a", self.step, self.incarnation, self.version)
         step = steps.Step(*names, groups, held)
-        collector = (entry or self._choose_entry()).put(step, _TERMS).ok
+        collector = (entry or self._choose_entry()).register(step, _TERMS).ok
         self.said[collector] = self.said.get(collector, frozenset()).union(held or ())
 
     def _start_work(self):
@@ -166,7 +170,7 @@
         stated = None if self.random.random() < 0.04 else version
         text = f"[{version}]" * tokens
         engine.made.append(version)
-        engine.collector.note_progress(engine.work.work_id, text, tokens, stated)
+        engine.collector.record_progress(engine.work.work_id, text, tokens, stated)
 
     def _finish(self):
         begun = [item for item in self.running if item.made or self.random.random() < 0.05]
@@ -180,13 +184,13 @@
         use = self.random.random() < 0.5
         done = engine.collector.finish_work(engine.work.work_id, assumption if use else None)
         self.seen[done.outcome.value] += 1
-        self.seen["losers"] += len(done.losers)
+        self.seen["redundant"] += len(done.redundant_work_ids)
 
     def _finish_late(self):
-        """Repeat the end of work that is over, with more text."""
+        """Send more text, and the end of the stream again, for work that has already ended."""
         if self.ended:
             engine = self.random.choice(self.ended)
-            engine.collector.note_progress(engine.work.work_id, "late", 1, self.engine_version)
+            engine.collector.record_progress(engine.work.work_id, "late", 1, self.engine_version)
             assert not engine.collector.finish_work(engine.work.work_id).is_kept
 
     def _fail(self):
@@ -232,7 +236,7 @@
         self.in_flight = None
 
     def _replay_old_pull(self):
-        """Let a pull arrive that the trainer gave up on long ago."""
+        """Deliver an outdated pull that the trainer gave up on long ago."""
         collector = self._choose_collector()
         if collector is not None:
             self._send_pull(collector, 7, frozenset(list(self.held)[:1]))
@@ -261,7 +265,7 @@
         self.held = {}
 
     def _end_well(self):
-        """Let everything go well from here: the step must become complete."""
+        """Play events without faults until the step is complete; fail if it never is."""
         entry, step = self._create_entry(), self.step
         self.entries = [entry, entry]
         for _ in range(200):
@@ -287,11 +291,11 @@
 
 
 @behave.then(
-    "no sample was lost, doubled, stale or wrongly labelled, and each kind of event had occurred"
+    "no sample was lost, duplicated, stale or wrongly labelled, and each kind of event occurred"
 )
 def check_model(context):
-    """Check that the run, which raises at a fault, was no idle one."""
-    kinds = "complete kept unknown-label not-wanted hedge losers resumed lost unknown"
+    """Check that each kind of event occurred; the run itself raises an error at any violation."""
+    kinds = "complete kept unknown-label not-wanted hedge redundant resumed lost unknown"
     kinds += f" {metrics.SAMPLES_STALE} {metrics.SAMPLES_REMADE}"
     missing = [kind for kind in kinds.split() if not context.sample_model.seen[kind]]
     assert not missing, (missing, context.sample_model.seen)
--- a/libs/samples/oleander_samples/backlog.py
+++ b/libs/samples/oleander_samples/backlog.py
@@ -1,4 +1,4 @@
-"""Which sample to start next."""
+"""The queue of samples that wait to be started, and their order."""
 
 import heapq
 
@@ -9,11 +9,12 @@
 
 class Backlog:
     """
-    The numbers of samples that wait to be started; bounded by the samples of the step.
+    The numbers of the samples that wait to be started; bounded by the samples of the step.
 
-    Those tried before go first: the text they resume from grows stale, and they hold up the
-    step. Of the others, the longest predicted goes first, so that few long ones start last; a
-    group's members start in turn with those of its equals, so that they spread over engines.
+    Retries come first, because the text they resume from becomes stale and they delay the step.
+    The other samples follow by predicted length, longest first, so that few long samples start
+    late. Groups with the same prediction take turns, so that the samples of one group are spread
+    over the engines.
     """
 
     def __init__(self, group_of: list[int], lengths: predictions.LengthModel) -> None:
@@ -21,52 +22,52 @@
         self._lengths = lengths
         self._waiting = set(range(len(group_of)))
         self._retries: list[tuple[float, int]] = []
-        self._fresh: dict[int, list[int]] = {}
+        self._unstarted: dict[int, list[int]] = {}
         for number in reversed(range(len(group_of))):
-            self._fresh.setdefault(group_of[number], []).append(number)
+            self._unstarted.setdefault(group_of[number], []).append(number)
         self._ranks: dict[int, _Rank] = {}
-        self._order: list[_Rank] = []
-        for group in self._fresh:
-            self.rank_group(group)
+        self._group_heap: list[_Rank] = []
+        for group in self._unstarted:
+            self.update_rank(group)
 
     def __len__(self) -> int:
-        """Return how many wait, for now or for later."""
+        """Return how many samples wait, including retries that are not due yet."""
         return len(self._waiting)
 
     def __contains__(self, number: int) -> bool:
-        """Tell whether a sample waits."""
+        """Return whether a sample waits to be started."""
         return number in self._waiting
 
     def add_retry(self, number: int, ready_at: float) -> None:
-        """Let a sample that was started before wait until a point of time."""
+        """Queue a sample that was started before; it is due at `ready_at`."""
         self._waiting.add(number)
         heapq.heappush(self._retries, (ready_at, number))
 
     def remove(self, number: int) -> None:
-        """Forget a sample; its places in the queues are skipped later."""
+        """Remove a sample; `pop` skips the entries that are left in the queues."""
         self._waiting.discard(number)
 
     def pop(self, now: float) -> int | None:
-        """Return the next sample to start and take it out."""
+        """Remove and return the next sample to start, or return None if none is due."""
         number = self._pop_retry(now)
         if number is None:
-            number = self._pop_fresh()
+            number = self._pop_unstarted()
         if number is not None:
             self._waiting.discard(number)
         return number
 
-    def rank_group(self, group: int) -> None:
-        """Put a group in its place after its prediction changed or a member started."""
-        waiting = self._fresh[group]
+    def update_rank(self, group: int) -> None:
+        """Update a group's rank after its prediction changed or one of its samples started."""
+        waiting = self._unstarted[group]
         while waiting and waiting[-1] not in self._waiting:
             waiting.pop()
         if not waiting:
             self._ranks.pop(group, None)
             return
-        rank = (-self._lengths.predict_fresh(group), -len(waiting), group)
+        rank = (-self._lengths.predict_unstarted(group), -len(waiting), group)
         if self._ranks.get(group) != rank:
             self._ranks[group] = rank
-            heapq.heappush(self._order, rank)
+            heapq.heappush(self._group_heap, rank)
 
     def _pop_retry(self, now: float) -> int | None:
         while self._retries and self._retries[0][0] <= now:
@@ -75,23 +76,23 @@
                 return number
         return None
 
-    def _pop_fresh(self) -> int | None:
-        while self._order:
-            rank = heapq.heappop(self._order)
+    def _pop_unstarted(self) -> int | None:
+        while self._group_heap:
+            rank = heapq.heappop(self._group_heap)
             group = rank[-1]
             if self._ranks.get(group) != rank:
                 continue
             del self._ranks[group]
-            number = self._take_member(group)
+            number = self._pop_member(group)
             if number is not None:
                 return number
         return None
 
-    def _take_member(self, group: int) -> int | None:
-        waiting = self._fresh[group]
+    def _pop_member(self, group: int) -> int | None:
+        waiting = self._unstarted[group]
         while waiting:
             number = waiting.pop()
             if number in self._waiting:
-                self.rank_group(group)
+                self.update_rank(group)
                 return number
         return None
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -1,4 +1,4 @@
-"""Collects the samples of one step and delivers each of them once."""
+"""Collects the samples of one step and delivers them to its trainer."""
 
 import collections.abc
 import threading
@@ -12,24 +12,26 @@
 SampleWork = work.SampleWork
 FinishedWork = work.FinishedWork
 
-MOST_KEPT_CHARACTERS = 16 * 1024 * 1024
-"""While so much text waits for the trainer, nothing is started."""
-PAUSE_SECONDS = 120.0
-"""Once a trainer has pulled, a silence of so long stops new work until it is heard again."""
-ABANDONED_SECONDS = 1800.0
-"""The same for a trainer that has not pulled yet; a step may be forgotten after it."""
+MAX_PENDING_CHARACTERS = 16 * 1024 * 1024
+"""No work is started while the texts pending delivery have this total length."""
+MAX_SILENCE_SECONDS = 120.0
+"""No work is started while a trainer that has pulled before has been silent for longer."""
+ABANDONED_AFTER_SECONDS = 1800.0
+"""The same limit for a trainer that has not pulled yet. The step of any trainer that is silent
+for longer may be closed to admit another step."""
 
 
 class StepCollector:
     """
-    The samples of one step of one trainer; thread-safe.
-
-    Nothing is started before the trainer has said what it holds, with the step or by its first
-    pull: a replaced entry knows nothing and would make held samples again. The trainer's own
-    statement is the only truth about what was delivered; a sample stays here until then.
-    A trainer that pulls no more may have gone to another entry, which makes the same samples:
-    new work stops while it is silent.
-    All state is bounded by the samples of the step and by `MOST_KEPT_CHARACTERS`.
+    Collects the samples of one step of one trainer; thread-safe.
+
+    No work is started before the trainer has stated which samples it holds, in its registration
+    or in its first pull: an entry that replaces another does not know what was delivered and
+    would generate held samples again. Only this statement shows that a sample was delivered; the
+    sample is kept until then.
+    A trainer that stops pulling may have switched to another entry, which generates the same
+    samples, so no new work is started while the trainer is silent.
+    All state is bounded by the number of samples of the step and by `MAX_PENDING_CHARACTERS`.
     """
 
     def __init__(
@@ -42,131 +44,133 @@
     ) -> None:
         self._step = step
         self._digest = step.digest
-        self._total = step.total
+        self._total = step.sample_count
         self._staleness_bound = terms.staleness_bound
         self._read_now = read_now
         self._changed = threading.Condition()
         policy = policy or hedging.StragglerPolicy(terms.hedge_percent)
-        restart_percent = (
-            scheduler.RESTART_PERCENT if terms.objective is contract.Objective.STALENESS else 0
+        max_discarded_percent = (
+            scheduler.MAX_DISCARDED_PERCENT
+            if terms.objective is contract.Objective.STALENESS
+            else 0
         )
-        self._scheduler = scheduler.WorkScheduler(step, policy, random_seed, restart_percent)
-        self._inventory = inventory.Inventory(step.total)
+        self._scheduler = scheduler.WorkScheduler(step, policy, random_seed, max_discarded_percent)
+        self._inventory = inventory.Inventory(step.sample_count)
         self._version = 0
-        self._heard_at = read_now()
+        self._last_contact_at = read_now()
         self._is_started = False
         self._is_closed = False
-        self._latest_pull = 0
+        self._latest_pull_number = 0
         self._raise_version(step.version)
         if step.held is not None:
             self._set_held(step.held)
 
     @property
     def step(self) -> steps.Step:
-        """What is collected."""
+        """The step as its trainer registered it."""
         return self._step
 
     @property
     def digest(self) -> str:
-        """The digest of the step's groups."""
+        """The digest of the step's groups, computed once."""
         return self._digest
 
     @property
-    def wanted_in_flight(self) -> int:
-        """How many attempts make sense now: those that run and those that could start."""
+    def wanted_attempts(self) -> int:
+        """The number of running attempts plus the samples that could be started now."""
         with self._changed:
-            waiting = self._scheduler.waiting if self._may_start() else 0
+            waiting = self._scheduler.waiting if self._can_start() else 0
             return self._scheduler.in_flight + waiting
 
     @property
     def is_complete(self) -> bool:
-        """Whether every sample is whole: held, or waiting to be pulled."""
+        """Whether every sample is held by the trainer or pending delivery."""
         with self._changed:
-            return self._inventory.whole == self._total
+            return self._inventory.finished_count == self._total
 
     @property
     def is_closed(self) -> bool:
-        """Whether the step has ended here."""
+        """Whether the step was closed at this entry."""
         with self._changed:
             return self._is_closed
 
     @property
     def is_abandoned(self) -> bool:
-        """Whether the trainer was silent for so long that the step may be forgotten."""
+        """Whether the trainer has been silent for so long that the step may be closed."""
         with self._changed:
-            return self._measure_silence() > ABANDONED_SECONDS
+            return self._measure_silence() > ABANDONED_AFTER_SECONDS
 
     @property
     def hedge_tokens(self) -> int:
-        """The tokens that hedges have made, counted against their budget."""
+        """The number of tokens that hedges have generated, as charged to their budget."""
         with self._changed:
             return self._scheduler.hedge_tokens
 
     def next_work(self) -> work.SampleWork | None:
         """
-        Return what to start next, or nothing if none is due.
+        Return the next work to start, or None if there is none now.
 
-        Once everything has been started, this is a straggler's next attempt: a hedge, or the
-        straggler itself to be moved, whose old attempt is then among the cancellations.
+        Once all samples have been started, this is another attempt at a straggler: either a hedge
+        or a migration, whose old attempts are then among the cancellations.
         """
         with self._changed:
-            if not self._may_start():
+            if not self._can_start():
                 return None
             started = self._scheduler.start_next(self._read_now())
             if started is not None:
                 invariants.require(
-                    not self._inventory.has(started.number),
+                    not self._inventory.is_finished(started.number),
                     "work-is-missing",
-                    f"sample {started.number} is there already",
+                    f"sample {started.number} was started but is already finished",
                 )
-            self._require_balance()
+            self._check_sample_counts()
             return started
 
-    def note_progress(self, work_id: str, text: str, tokens: int, version: int | None) -> None:
-        """Take in a piece of a stream; pieces of work that is not wanted are dropped."""
+    def record_progress(self, work_id: str, text: str, tokens: int, version: int | None) -> None:
+        """Add a piece of an attempt's stream; pieces of cancelled work are ignored."""
         with self._changed:
-            self._scheduler.note_progress(work_id, text, tokens, version, self._read_now())
+            self._scheduler.record_progress(work_id, text, tokens, version, self._read_now())
 
     def finish_work(
         self, work_id: str, assumption: labels.Assumption | None = None
     ) -> work.FinishedWork:
-        """Take in the end of a whole answer; the first one for a sample wins."""
+        """Finish an attempt whose stream has ended; the first one of a sample is kept."""
         with self._changed:
             sample = self._scheduler.finish(work_id, assumption, self._read_now())
             if sample.is_error():
                 return work.FinishedWork(sample.error)
-            losers = self._scheduler.drop(sample.ok.number)
-            self._inventory.keep(sample.ok)
-            self._require_balance()
+            redundant = self._scheduler.stop_sample(sample.ok.number)
+            self._inventory.add(sample.ok)
+            self._check_sample_counts()
             self._changed.notify_all()
-            return work.FinishedWork(work.Outcome.KEPT, losers)
+            return work.FinishedWork(work.Outcome.KEPT, redundant)
 
     def fail_work(self, work_id: str) -> None:
-        """Take in that work broke off; it is resumed elsewhere where that is possible."""
+        """Handle the failure of an attempt; its sample is resumed or restarted later."""
         with self._changed:
             self._scheduler.fail(work_id, self._read_now())
-            self._require_balance()
+            self._check_sample_counts()
 
-    def note_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
-        """Take in what the trainer said when it registered the step; work may start now."""
+    def record_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
+        """Add the samples that the trainer listed in a repeated registration; work may start."""
         with self._changed:
             if self._is_closed:
                 return
-            self._note_heard(version)
+            self._record_contact(version)
             self._set_held(self._inventory.held.union(numbers))
 
-    def note_version(self, version: int) -> None:
-        """Take in the policy version of the trainer, which was just heard."""
+    def record_version(self, version: int) -> None:
+        """Record contact with the trainer and the policy version that it stated."""
         with self._changed:
-            self._note_heard(version)
+            self._record_contact(version)
 
     def take_cancellations(self) -> list[str]:
-        """Return work that is of no more use, each once; cancel it at its engines."""
+        """Return and clear the IDs of work that must be cancelled at its engines."""
         with self._changed:
             return self._scheduler.take_cancellations()
 
     def close(self) -> None:
-        """End the step: cancel its work, refuse its pulls and forget its texts."""
+        """Close the step: cancel its work, refuse its pulls and discard its texts."""
         with self._changed:
             self._is_closed = True
             self._scheduler.cancel_all()
@@ -177,29 +181,29 @@
         self, pull: pulls.Pull, seconds: float
     ) -> expression.Result[pulls.PullAnswer, pulls.PullRefusal]:
         """
-        Return samples that the trainer does not hold, waiting a while for the first.
+        Return samples that the trainer does not hold, waiting up to `seconds` for the first.
 
-        A later pull ends an earlier one that still waits: only one may be answered with
-        samples, or a trainer that gave up on the first would be sent them twice.
+        A later pull ends an earlier one that still waits with a refusal. If both were answered,
+        a trainer that gave up on the first would be sent the same samples twice.
         """
         deadline = clock.start_deadline(seconds)
         with self._changed:
             refusal = self._check_pull(pull)
             if refusal is not None:
                 return expression.Error(refusal)
-            self._latest_pull += 1
-            turn = self._latest_pull
-            self._note_heard(pull.version)
+            self._latest_pull_number += 1
+            pull_number = self._latest_pull_number
+            self._record_contact(pull.version)
             self._set_held(pull.held)
             self._changed.notify_all()
             while True:
-                refused = self._check_turn(turn)
+                refused = self._check_latest_pull(pull_number)
                 if refused is not None:
                     return expression.Error(pulls.PullRefusal(refused))
                 answer = self._build_answer(pull)
                 if answer.samples or answer.complete or deadline.is_past:
-                    fresh = self._inventory.note_offered(answer)
-                    steps.count_samples(self._step, metrics.SAMPLES_DELIVERED, fresh)
+                    newly_offered = self._inventory.record_offered(answer)
+                    steps.count_samples(self._step, metrics.SAMPLES_DELIVERED, newly_offered)
                     return expression.Ok(answer)
                 self._changed.wait(deadline.remaining)
 
@@ -216,76 +220,76 @@
             return pulls.PullRefusal(pulls.RefusalReason.BAD_HELD, findings.Findings((finding,)))
         return None
 
-    def _check_turn(self, turn: int) -> pulls.RefusalReason | None:
+    def _check_latest_pull(self, pull_number: int) -> pulls.RefusalReason | None:
         if self._is_closed:
             return pulls.RefusalReason.STEP_UNKNOWN
-        if turn != self._latest_pull:
+        if pull_number != self._latest_pull_number:
             return pulls.RefusalReason.SUPERSEDED
         return None
 
     def _build_answer(self, pull: pulls.Pull) -> pulls.PullAnswer:
-        samples = self._inventory.choose(pull.most)
-        oldest_version = self._find_oldest_allowed()
+        samples = self._inventory.choose_pending(pull.max_samples)
+        oldest_version = self._find_oldest_allowed_version()
         for sample in samples:
             invariants.require(
                 sample.number not in pull.held,
                 "pull-excludes-held",
-                f"sample {sample.number} is held",
+                f"sample {sample.number} is offered but already held",
             )
             invariants.require(
                 sample.oldest_version >= oldest_version,
                 "pull-is-fresh",
-                f"sample {sample.number} has {sample.label}, too old for {self._version}",
+                f"sample {sample.number} is stale at version {self._version}: {sample.label}",
             )
         complete = len(pull.held) + len(samples) == self._total
         return pulls.PullAnswer(self._step.step, self._version, complete, samples)
 
-    def _may_start(self) -> bool:
+    def _can_start(self) -> bool:
         if not self._is_started or self._is_closed:
             return False
-        patience = PAUSE_SECONDS if self._latest_pull else ABANDONED_SECONDS
+        patience = MAX_SILENCE_SECONDS if self._latest_pull_number else ABANDONED_AFTER_SECONDS
         if self._measure_silence() > patience:
             return False
-        return self._inventory.kept_characters < MOST_KEPT_CHARACTERS
+        return self._inventory.pending_characters < MAX_PENDING_CHARACTERS
 
     def _measure_silence(self) -> float:
-        return self._read_now() - self._heard_at
+        return self._read_now() - self._last_contact_at
 
-    def _note_heard(self, version: int) -> None:
-        self._heard_at = self._read_now()
+    def _record_contact(self, version: int) -> None:
+        self._last_contact_at = self._read_now()
         self._raise_version(version)
 
-    def _find_oldest_allowed(self) -> int:
+    def _find_oldest_allowed_version(self) -> int:
         return max(0, self._version - self._staleness_bound)
 
     def _raise_version(self, version: int) -> None:
-        """Drop what the trainer's version made stale; a version that comes late lowers nothing."""
+        """Record the trainer's version and discard stale samples; ignore an older version."""
         if version <= self._version:
             return
         self._version = version
         now = self._read_now()
-        oldest_version = self._find_oldest_allowed()
-        self._scheduler.raise_oldest(oldest_version, now)
+        oldest_version = self._find_oldest_allowed_version()
+        self._scheduler.raise_oldest_version(oldest_version, now)
         for number in self._inventory.drop_stale(oldest_version):
             steps.count_samples(self._step, metrics.SAMPLES_STALE)
             steps.count_samples(self._step, metrics.SAMPLES_REMADE)
-            self._scheduler.restore(number, now)
+            self._scheduler.restart_sample(number, now)
 
     def _set_held(self, numbers: frozenset[int]) -> None:
-        """Take the trainer's word: stop making what it has, make again what it lost."""
+        """Update the held samples: stop work on the added ones, queue the removed ones again."""
         self._is_started = True
-        added, gone = self._inventory.set_held(numbers)
+        added, gone = self._inventory.update_held(numbers)
         for number in added:
-            self._scheduler.cancel(self._scheduler.drop(number))
+            self._scheduler.cancel(self._scheduler.stop_sample(number))
         for number in gone:
-            self._scheduler.restore(number, self._read_now())
-        self._require_balance()
+            self._scheduler.restart_sample(number, self._read_now())
+        self._check_sample_counts()
 
-    def _require_balance(self) -> None:
-        """Check that each sample is in one place: there, being made, or waiting."""
+    def _check_sample_counts(self) -> None:
+        """Require that each sample is counted once: as finished, running or waiting."""
         if self._is_closed:
             return
-        places = (self._inventory.whole, self._scheduler.running, self._scheduler.waiting)
+        places = (self._inventory.finished_count, self._scheduler.running, self._scheduler.waiting)
         invariants.require(
             sum(places) == self._total, "sample-in-one-place", f"{places} of {self._total}"
         )
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides what runs for a step: what starts, what is cancelled and what is made anew."""
+"""Schedules the work of a step: which samples to start, cancel, resume and restart."""
 
 import collections
 import math
@@ -9,23 +9,26 @@
 from oleander_base import identifiers, invariants, metrics
 from oleander_samples import attempts, backlog, hedging, labels, predictions, steps, work
 
-MOST_TEXT_CHARACTERS = 4 * 1024 * 1024
-"""A sample that grows beyond this is thrown away and made anew."""
-MOST_CANCELLATIONS = 64 * 1024
-"""Beyond this the oldest are forgotten: their engines make what nobody takes."""
-_FIRST_DELAY_SECONDS = 0.1
-_MOST_DOUBLINGS = 10
-RESTART_PERCENT = 25
-"""The part of a sample's expected length that is given up for newer weights, for staleness."""
+MAX_TEXT_CHARACTERS = 4 * 1024 * 1024
+"""A sample whose text grows beyond this length is discarded and generated again."""
+MAX_PENDING_CANCELLATIONS = 64 * 1024
+"""Beyond this number the oldest cancellations are dropped, and their engines go on generating
+text that is discarded."""
+_INITIAL_BACKOFF_SECONDS = 0.1
+"""The longest delay before the first retry of a sample; it doubles with each failure."""
+_MAX_DOUBLINGS = 10
+MAX_DISCARDED_PERCENT = 25
+"""For trainers that minimise staleness: the part of a sample's expected length that may be
+discarded to generate all of it with newer weights."""
 
 
 class WorkScheduler:
     """
-    The attempts at the samples of a step that are not whole; not thread-safe.
+    Manages the attempts at the unfinished samples of a step; not thread-safe.
 
-    A sample that is not whole either waits or has one or two attempts. One that broke off is
-    resumed from what it had; one whose label can't be known, or whose oldest weights are too old
-    to be delivered, is made anew.
+    An unfinished sample either waits in the backlog or has one or two running attempts. If an
+    attempt fails, the sample is resumed from its partial text. If the label of the text can't be
+    determined, or its oldest weights are too old to be delivered, it is generated from the start.
     """
 
     def __init__(
@@ -33,16 +36,21 @@
         step: steps.Step,
         policy: hedging.StragglerPolicy,
         random_seed: int,
-        restart_percent: int = 0,
+        max_discarded_percent: int = 0,
     ) -> None:
-        """Make anew what had at most so much of its expected length when its weights changed."""
+        """
+        Create a scheduler with all samples of the step in its backlog.
+
+        A sample is restarted when its engine's weights change if at most `max_discarded_percent`
+        of its expected length was generated with older weights.
+        """
         self._step = step
         self._random = random.Random(random_seed)
         self._work_name = identifiers.create_nonce()
         self._work_count = 0
         self._oldest_version = 0
         self._group_of = [
-            index for index, group in enumerate(step.groups) for _ in range(group.samples)
+            index for index, group in enumerate(step.groups) for _ in range(group.sample_count)
         ]
         self._lengths = predictions.LengthModel(
             [group.max_tokens for group in step.groups],
@@ -51,154 +59,161 @@
         self._rates = predictions.RateModel()
         self._backlog = backlog.Backlog(self._group_of, self._lengths)
         self._policy = policy
-        self._restart_percent = restart_percent
+        self._max_discarded_percent = max_discarded_percent
         self._attempts = attempts.AttemptTable()
-        self._hedges = hedging.HedgePlanner(policy, step.total, self._lengths, self._rates)
+        self._hedges = hedging.HedgePlanner(policy, step.sample_count, self._lengths, self._rates)
         self._stragglers: collections.deque[int] = collections.deque()
         self._partials: dict[int, work.Partial] = {}
         self._failures: dict[int, int] = {}
-        self._cancellations: collections.deque[str] = collections.deque(maxlen=MOST_CANCELLATIONS)
+        self._cancellations: collections.deque[str] = collections.deque(
+            maxlen=MAX_PENDING_CANCELLATIONS
+        )
 
     @property
     def waiting(self) -> int:
-        """How many samples wait to be started."""
+        """The number of samples that wait to be started."""
         return len(self._backlog)
 
     @property
     def running(self) -> int:
-        """How many samples have an attempt."""
-        return self._attempts.numbers
+        """The number of samples with a running attempt."""
+        return self._attempts.sample_count
 
     @property
     def in_flight(self) -> int:
-        """How many attempts run, hedges among them."""
+        """The number of running attempts, including hedges."""
         return len(self._attempts)
 
     @property
     def hedge_tokens(self) -> int:
-        """The tokens that hedges have made, counted against their budget."""
-        return self._hedges.spent
+        """The number of tokens that hedges have generated, as charged to their budget."""
+        return self._hedges.spent_tokens
 
     def start_next(
-        self, now: float, has_spare: bool = True, spare_rate: float | None = None
+        self, now: float, has_free_slot: bool = True, free_slot_rate: float | None = None
     ) -> work.SampleWork | None:
         """
-        Return what to start: a waiting sample, or else a straggler's next attempt.
+        Return the next work to start: a waiting sample, or else another attempt at a straggler.
 
-        Without a spare place a straggler stays where it is: it would only wait elsewhere. The
-        rate is what the fastest engine with a spare place makes of one sample, in tokens a second.
+        Stragglers are left alone while no engine has a free slot, since they would only wait
+        there. `free_slot_rate` is the rate at which the fastest engine with a free slot generates
+        one sample, in tokens per second; None if unknown.
         """
         number = self._backlog.pop(now)
         if number is not None:
             return self._start(number, self._partials.pop(number, None), now, is_hedge=False)
-        if self._backlog or not has_spare:
+        if self._backlog or not has_free_slot:
             return None
-        return self._start_straggler(now, spare_rate)
+        return self._start_straggler(now, free_slot_rate)
 
-    def note_progress(
+    def record_progress(
         self, work_id: str, text: str, tokens: int, version: int | None, now: float
     ) -> None:
-        """Take in a piece of a stream; pieces of work that was cancelled are dropped."""
+        """Add a piece of an attempt's stream; pieces of cancelled work are ignored."""
         attempt = self._attempts.find(work_id)
         if attempt is None:
             return
         attempt.add_piece(text, tokens, version, now)
-        self._hedges.note_made(work_id, tokens)
+        self._hedges.record_tokens(work_id, tokens)
         if self._is_stale(attempt.oldest_version):
             self._cancel_stale(attempt, now)
         elif self._is_worth_restarting(attempt):
             self._cancel(attempt)
-            self._make_anew(attempt, now)
-        elif attempt.characters > MOST_TEXT_CHARACTERS:
+            self._restart_discarded(attempt, now)
+        elif attempt.characters > MAX_TEXT_CHARACTERS:
             self._cancel(attempt)
-            self._make_anew(attempt, now + self._choose_delay(attempt.work.number))
+            self._restart_discarded(
+                attempt, now + self._choose_backoff_seconds(attempt.work.number)
+            )
         elif self._hedges.is_overspent:
-            self._end_race(attempt.work.number, now)
+            self._cancel_slower(attempt.work.number, now)
 
     def finish(
         self, work_id: str, assumption: labels.Assumption | None, now: float
     ) -> expression.Result[steps.Sample, work.Outcome]:
-        """Take in the end of a whole answer; return the sample, or why there is none."""
+        """Finish an attempt whose stream has ended; return its sample, or why there is none."""
         attempt = self._remove(work_id)
         if attempt is None:
             return expression.Error(work.Outcome.NOT_WANTED)
         built = attempt.build_sample(assumption)
         if built.is_error():
-            self._make_anew(attempt, now + self._choose_delay(attempt.work.number))
+            self._restart_discarded(
+                attempt, now + self._choose_backoff_seconds(attempt.work.number)
+            )
             return expression.Error(work.Outcome.UNKNOWN_LABEL)
         if self._is_stale(built.ok.oldest_version):
             steps.count_samples(self._step, metrics.SAMPLES_STALE)
-            self._make_anew(attempt, now)
+            self._restart_discarded(attempt, now)
             return expression.Error(work.Outcome.STALE)
-        self._learn(attempt)
+        self._update_predictions(attempt)
         return expression.Ok(built.ok)
 
     def fail(self, work_id: str, now: float) -> None:
         """
-        Take in that work broke off, and keep the start that it made to resume from.
+        Handle the failure of an attempt, and save its partial text so that it can be resumed.
 
-        A start whose label can't be known is not kept: it would make the label of the whole
-        sample a guess.
+        The text is discarded if its label can't be determined, because the label of the whole
+        sample would then be a guess.
         """
         attempt = self._remove(work_id)
         if attempt is None:
             return
         number = attempt.work.number
-        if attempt.made_tokens:
+        if attempt.generated_tokens:
             self._failures.pop(number, None)
-        ready_at = now if attempt.made_tokens else now + self._choose_delay(number)
-        if not self._keep_partial(attempt):
-            self._make_anew(attempt, ready_at)
+        ready_at = now if attempt.generated_tokens else now + self._choose_backoff_seconds(number)
+        if not self._save_partial(attempt):
+            self._restart_discarded(attempt, ready_at)
             return
         if not self._attempts.find_all(number):
             self._backlog.add_retry(number, ready_at)
 
-    def put_back(self, work_id: str, now: float) -> None:
+    def requeue_refused(self, work_id: str, now: float) -> None:
         """
-        Take in that work was refused before it began; it keeps what it resumes from.
+        Requeue a sample whose attempt was refused before it began, with its partial text.
 
-        A refusal says nothing against the sample, so its delay does not grow: with one that does,
-        the samples met by full engines would start last and hold up the step.
+        A refusal is not a failure of the sample, so the retry delay does not grow. If it did, the
+        samples that met full engines would start last and delay the step.
         """
         attempt = self._remove(work_id)
         if attempt is None:
             return
-        self._keep_partial(attempt)
+        self._save_partial(attempt)
         if not self._attempts.find_all(attempt.work.number):
             self._backlog.add_retry(attempt.work.number, now)
 
-    def resume_from(self, number: int, partial: work.Partial) -> None:
-        """Take in the start of a sample that another process made."""
+    def add_partial(self, number: int, partial: work.Partial) -> None:
+        """Save a partial text, possibly of another process, unless a longer one is known."""
         known = self._partials.get(number)
         if known is None or known.tokens < partial.tokens:
             self._partials[number] = partial
 
     def list_partials(self) -> dict[int, work.Partial]:
-        """Return the longest start of each sample that is not whole."""
+        """Return the longest partial text of each unfinished sample that has one."""
         found = dict(self._partials)
         for attempt in self._attempts:
-            partial = attempt.find_partial()
+            partial = attempt.build_partial()
             known = found.get(attempt.work.number)
             if partial is not None and (known is None or known.tokens < partial.tokens):
                 found[attempt.work.number] = partial
         return found
 
-    def drop(self, number: int) -> tuple[str, ...]:
-        """Stop work at a sample that is there; return the attempts that were running."""
-        losers = self._attempts.find_all(number)
-        for attempt in losers:
+    def stop_sample(self, number: int) -> tuple[str, ...]:
+        """Stop work on a sample that now exists; return the work IDs that were running."""
+        redundant = self._attempts.find_all(number)
+        for attempt in redundant:
             self._remove(attempt.work.work_id)
         self._backlog.remove(number)
         self._partials.pop(number, None)
         self._failures.pop(number, None)
-        return tuple(attempt.work.work_id for attempt in losers)
+        return tuple(attempt.work.work_id for attempt in redundant)
 
-    def restore(self, number: int, now: float) -> None:
-        """Make a sample that was there and is no more."""
+    def restart_sample(self, number: int, now: float) -> None:
+        """Queue a sample that was finished but is no longer available."""
         self._backlog.add_retry(number, now)
 
-    def raise_oldest(self, version: int, now: float) -> None:
-        """Give up at once what was begun with weights that are too old to be delivered."""
+    def raise_oldest_version(self, version: int, now: float) -> None:
+        """Set the oldest version that may be delivered, and discard attempts with older tokens."""
         self._oldest_version = version
         stale = [item for item in self._attempts if self._is_stale(item.oldest_version)]
         for attempt in stale:
@@ -210,27 +225,27 @@
                 steps.count_samples(self._step, metrics.SAMPLES_REMADE)
 
     def cancel(self, work_ids: tuple[str, ...]) -> None:
-        """Remember work to be cancelled at its engines."""
+        """Queue work to be cancelled at its engines."""
         self._cancellations.extend(work_ids)
 
     def cancel_all(self) -> None:
-        """Cancel whatever runs."""
+        """Cancel all running attempts and discard all partial texts."""
         for attempt in self._attempts:
             self._cancel(attempt)
         self._partials.clear()
 
     def take_cancellations(self) -> list[str]:
-        """Return the work to be cancelled, each once."""
+        """Return and clear the IDs of the work to be cancelled."""
         taken = list(self._cancellations)
         self._cancellations.clear()
         return taken
 
-    def _keep_partial(self, attempt: work.Attempt) -> bool:
-        """Keep what an attempt can be resumed from; return whether there is anything."""
-        partial = attempt.find_partial()
+    def _save_partial(self, attempt: work.Attempt) -> bool:
+        """Save the partial text of an attempt; return whether it is usable."""
+        partial = attempt.build_partial()
         if partial is None:
             return False
-        self.resume_from(attempt.work.number, partial)
+        self.add_partial(attempt.work.number, partial)
         return True
 
     def _start(
@@ -239,12 +254,12 @@
         invariants.require(
             partial is None or not self._is_stale(partial.oldest_version),
             "resumed-is-fresh",
-            f"sample {number} would be resumed from {partial and partial.label}",
+            f"sample {number} would be resumed from stale text: {partial and partial.label}",
         )
         self._work_count += 1
         group = self._group_of[number]
         terms = self._step.groups[group]
-        made = partial.tokens if partial else 0
+        resumed_tokens = partial.tokens if partial else 0
         started = work.SampleWork(
             work_id=f"{self._work_name}-{self._work_count}",
             number=number,
@@ -254,69 +269,77 @@
             max_tokens=terms.max_tokens,
             resumed_text=partial.text if partial else "",
             resumed_label=partial.label if partial else (),
-            resumed_tokens=made,
+            resumed_tokens=resumed_tokens,
             oldest_version=self._oldest_version,
             is_hedge=is_hedge,
-            expected_tokens=self._hedges.predict_hedge(group, made),
+            expected_tokens=self._hedges.predict_hedge_tokens(group, resumed_tokens),
         )
         self._attempts.add(work.Attempt(started, now))
         return started
 
-    def _start_straggler(self, now: float, spare_rate: float | None) -> work.SampleWork | None:
-        whole = self._step.total - self.waiting - self.running
-        if self._hedges.is_due(whole, now):
+    def _start_straggler(self, now: float, free_slot_rate: float | None) -> work.SampleWork | None:
+        finished_count = self._step.sample_count - self.waiting - self.running
+        if self._hedges.is_scan_due(finished_count, now):
             self._stragglers.clear()
-            found = self._hedges.find_stragglers(self._attempts, now, spare_rate)
+            found = self._hedges.find_stragglers(self._attempts, now, free_slot_rate)
             self._stragglers.extend(found)
         while self._stragglers:
             number = self._stragglers.popleft()
             same = self._attempts.find_all(number)
             started = self._hedge(same[0], now) if len(same) == 1 else None
             if started is None:
-                started = self._move(number, now)
+                started = self._migrate(number, now)
             if started is not None:
                 return started
         return None
 
     def _hedge(self, straggler: work.Attempt, now: float) -> work.SampleWork | None:
-        """Start a second attempt from the text so far, if the budget has room for it."""
-        partial = straggler.find_partial()
-        made = partial.tokens if partial else 0
-        tokens = self._hedges.predict_hedge(straggler.work.group, made)
-        if not self._hedges.admits(tokens):
+        """Start a second attempt from the partial text if the token budget allows it."""
+        partial = straggler.build_partial()
+        resumed_tokens = partial.tokens if partial else 0
+        tokens = self._hedges.predict_hedge_tokens(straggler.work.group, resumed_tokens)
+        if not self._hedges.has_budget_for(tokens):
             return None
         hedge = self._start(straggler.work.number, partial, now, is_hedge=True)
         self._hedges.reserve(hedge.work_id, tokens)
         return hedge
 
-    def _move(self, number: int, now: float) -> work.SampleWork | None:
-        """Cancel a sample's attempts and start one from the longest text; no token is lost."""
+    def _migrate(self, number: int, now: float) -> work.SampleWork | None:
+        """
+        Cancel a sample's attempts and resume it from its longest partial text.
+
+        Return None, leaving the attempts alone, if migration is off or if tokens would be lost.
+        """
         same = self._attempts.find_all(number)
-        partials = [partial for item in same if (partial := item.find_partial()) is not None]
+        partials = [partial for item in same if (partial := item.build_partial()) is not None]
         longest = max(partials, key=lambda item: item.tokens, default=None)
-        made = max((item.tokens for item in same), default=0)
-        if not same or not self._policy.moves or made > (longest.tokens if longest else 0):
+        generated_tokens = max((item.tokens for item in same), default=0)
+        if (
+            not same
+            or not self._policy.allows_migration
+            or generated_tokens > (longest.tokens if longest else 0)
+        ):
             return None
         for attempt in same:
             self._cancel(attempt)
         return self._start(number, longest, now, is_hedge=False)
 
-    def _end_race(self, number: int, now: float) -> None:
-        """Cancel the later of two attempts, so that hedges cost no more than they may."""
+    def _cancel_slower(self, number: int, now: float) -> None:
+        """Cancel the slower of a sample's two attempts, because the hedge budget is exceeded."""
         same = self._attempts.find_all(number)
         if len(same) > 1:
             self._cancel(self._hedges.find_slower(same[0], same[1], now))
 
-    def _learn(self, attempt: work.Attempt) -> None:
-        self._lengths.note_length(attempt.work.group, attempt.tokens)
-        self._rates.note_work(attempt.mean_rate, attempt.wait_seconds)
-        self._backlog.rank_group(attempt.work.group)
+    def _update_predictions(self, attempt: work.Attempt) -> None:
+        self._lengths.record_length(attempt.work.group, attempt.tokens)
+        self._rates.record_work(attempt.mean_rate, attempt.time_to_first_token)
+        self._backlog.update_rank(attempt.work.group)
 
     def _is_worth_restarting(self, attempt: work.Attempt) -> bool:
-        """Tell whether a few tokens make a sample older than most of it will be."""
-        outdated = attempt.outdated_tokens if self._restart_percent else 0
-        expected = self._lengths.predict_fresh(attempt.work.group)
-        return 0 < outdated * 100 <= expected * self._restart_percent
+        """Return whether few enough tokens have older weights to discard them and start again."""
+        outdated = attempt.outdated_tokens if self._max_discarded_percent else 0
+        expected = self._lengths.predict_unstarted(attempt.work.group)
+        return 0 < outdated * 100 <= expected * self._max_discarded_percent
 
     def _is_stale(self, oldest_version: int | None) -> bool:
         return oldest_version is not None and oldest_version < self._oldest_version
@@ -324,7 +347,7 @@
     def _cancel_stale(self, attempt: work.Attempt, now: float) -> None:
         steps.count_samples(self._step, metrics.SAMPLES_STALE)
         self._cancel(attempt)
-        self._make_anew(attempt, now)
+        self._restart_discarded(attempt, now)
 
     def _cancel(self, attempt: work.Attempt) -> None:
         self._remove(attempt.work.work_id)
@@ -338,8 +361,8 @@
             self._hedges.release(other.work.work_id)
         return attempt
 
-    def _make_anew(self, attempt: work.Attempt, ready_at: float) -> None:
-        """Let a sample wait whose attempt was thrown away, unless another attempt runs."""
+    def _restart_discarded(self, attempt: work.Attempt, ready_at: float) -> None:
+        """Queue a sample whose attempt was discarded, unless another attempt is running."""
         number = attempt.work.number
         if self._attempts.find_all(number):
             return
@@ -347,10 +370,10 @@
             steps.count_samples(self._step, metrics.SAMPLES_REMADE)
         self._backlog.add_retry(number, ready_at)
 
-    def _choose_delay(self, number: int) -> float:
-        """Return a random, growing delay: a sample that keeps failing must not spin."""
+    def _choose_backoff_seconds(self, number: int) -> float:
+        """Return a random, exponentially growing delay for a sample that fails repeatedly."""
         failures = self._failures.get(number, 0)
         self._failures[number] = failures + 1
-        longest = math.ldexp(_FIRST_DELAY_SECONDS, min(failures, _MOST_DOUBLINGS))
-        most = min(self._policy.retry_seconds, longest)
-        return most * self._random.uniform(0.5, 1.0)
+        uncapped = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
+        longest = min(self._policy.max_backoff_seconds, uncapped)
+        return longest * self._random.uniform(0.5, 1.0)
