--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -37,13 +37,13 @@
     ),
     "suspects-apart": (
         f"{_DIRECT}/crash_guard.py",
-        "return frozenset(self._suspects)",
+        "return frozenset(self._suspect_counts)",
         "return frozenset()",
     ),
     "comeback-advice": (
-        f"{_DIRECT}/comeback.py",
-        "_LEAST_MS * max(1.0, ratio)",
-        "_LEAST_MS",
+        f"{_DIRECT}/retry_advice.py",
+        "_MIN_RETRY_AFTER_MS * max(1.0, ratio)",
+        "_MIN_RETRY_AFTER_MS",
     ),
     "moves": (f"{_PROGRAM}/batch_run.py", "    moves=True,", "    moves=False,"),
     "kept-starts": (
@@ -100,8 +100,8 @@
     ),
     "furthest-first": (
         f"{_ORDERS}/plan.py",
-        "(-self._find_lag(item), named[item.model].seen_at, item.model)",
-        "(named[item.model].seen_at, item.model)",
+        "(-self._find_lag(item), named[item.model].read_at, item.model)",
+        "(named[item.model].read_at, item.model)",
     ),
     "versions-left-out": (
         f"{_ORDERS}/plan.py",
--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -138,7 +138,7 @@
         self.group = tasks.TaskGroup("runner", 64)
         self.router = chooser = router.Router(3)
         self._known = directory.Directory(chooser, engines)
-        self._known.put_table(_TABLE)
+        self._known.update_table(_TABLE)
         for name in names:
             self._put_server(name, "engines", (servers.ModelVersion(MODEL, 2),))
         self._put_server("s1", "scorers", ())
@@ -161,7 +161,7 @@
             self.group.keep(task)
 
     def _put_server(self, name, backend, models):
-        self._known.put_server(
+        self._known.update_server(
             servers.Server(name, 1, backend, "127.0.0.1:1", "z", 8, False, models)
         )
 
--- a/features/server_fakes.py
+++ b/features/server_fakes.py
@@ -27,7 +27,7 @@
     def order(self, server, order, deadline):
         raise AssertionError
 
-    def forget(self, address):
+    def close_idle(self, address):
         """Keep nothing that could be forgotten."""
 
 
@@ -74,8 +74,8 @@
     return servers.CallAnswer(status, (), b"", did_not_run, is_other, "stamp")
 
 
-def build_route(kind, most_servers):
+def build_route(kind, max_servers):
     """Return a route of a kind whose requests may go to so many servers."""
     share = (routes.Share("desk", 1),)
     kind = _KINDS[kind]
-    return routes.Route("r", "h", "/", kind, 5000, 150, 0, share, most_servers, False, False, 0, 0)
+    return routes.Route("r", "h", "/", kind, 5000, 150, 0, share, max_servers, False, False, 0, 0)
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -6,7 +6,7 @@
 
 import behave
 
-from oleander_direct import shares
+from oleander_direct import fair_share
 
 _SECONDS = 10.0
 _USUAL_RATE = 5.0
@@ -22,7 +22,7 @@
         self._free = places
         self._service_seconds = service_seconds
         self._now = 0.0
-        self._shares = shares.ConcurrencyShares(places, lambda: self._now)
+        self._shares = fair_share.FairShareLimiter(places, lambda: self._now)
         self._has_shares = has_shares
         self._waiting = collections.deque()
         self._ending = []
@@ -43,7 +43,7 @@
             self._now, organisation = heapq.heappop(self._ending)
             self._free += 1
             if self._has_shares:
-                self._shares.leave(organisation)
+                self._shares.release(organisation)
             self._begin()
 
     def _begin(self):
@@ -51,7 +51,7 @@
             since, organisation = self._waiting.popleft()
             if self._now - since > _LONGEST_WAIT_SECONDS:
                 continue
-            if self._has_shares and not self._shares.try_enter(organisation):
+            if self._has_shares and not self._shares.try_acquire(organisation):
                 continue
             self._free -= 1
             self.served[organisation] += 1
@@ -110,7 +110,7 @@
 @behave.given("an entry with {places:d} places")
 def create_shares(context, places):
     context.now = 100.0
-    context.shares = shares.ConcurrencyShares(places, lambda: context.now)
+    context.shares = fair_share.FairShareLimiter(places, lambda: context.now)
 
 
 @behave.when("the organisations hold {held} of them and {other} have called {seconds:f} s ago")
@@ -118,14 +118,14 @@
     counts = {name: int(count) for name, count in (item.split("=") for item in held.split())}
     context.now -= seconds
     if other != "none":
-        assert context.shares.try_enter(other)
-        context.shares.leave(other)
+        assert context.shares.try_acquire(other)
+        context.shares.release(other)
     context.now += seconds
     for name, count in counts.items():
         for _ in range(count):
-            context.shares.try_enter(name)
+            context.shares.try_acquire(name)
 
 
 @behave.then("one more request of red is {verdict}")
 def check_verdict(context, verdict):
-    assert context.shares.try_enter("red") == (verdict == "let in")
+    assert context.shares.try_acquire("red") == (verdict == "let in")
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -84,19 +84,19 @@
         if self.fatal_seconds == 0.0:
             self._end(engine)
             return servers.OrderUnknown("reset")
-        return servers.OrderTaken(is_done=False)
+        return servers.OrderAccepted(is_done=False)
 
     def run(self, version, seconds, fatal_seconds):
         self.fatal_seconds = fatal_seconds
         with self.patch_clock():
             for known, _ in self.processes:
-                known.put_named(_MODEL, version)
+                known.set_target_version(_MODEL, version)
             until = self.now + seconds
             while self.now < until:
                 self.now += _TICK_SECONDS
                 self._advance()
                 for known, keeper in self.processes:
-                    known.note_heard()
+                    known.record_list_read()
                     keeper.order_due()
 
     def restart_all(self):
@@ -111,7 +111,7 @@
 
     def list_engine(self, engine):
         for known, _ in self.processes:
-            known.put_server(self._describe(engine))
+            known.update_server(self._describe(engine))
 
     def _advance(self):
         for engine in self.engines.values():
@@ -137,7 +137,7 @@
 
     def _find(self, server):
         engine = self.engines[server.server_id]
-        is_there = engine.back_at is None and engine.born == server.born_ms
+        is_there = engine.back_at is None and engine.born == server.started_ms
         return engine if is_there else None
 
     def _describe(self, engine):
@@ -148,10 +148,10 @@
 
     def _create_process(self, owned_ids):
         known = directory.Directory(router.Router(7), self)
-        known.put_table(_TABLE)
-        known.note_heard()
+        known.update_table(_TABLE)
+        known.record_list_read()
         for engine in self.engines.values():
-            known.put_server(self._describe(engine))
+            known.update_server(self._describe(engine))
         return known, keeper_fakes.create_keeper(known, owned_ids, self, self.shared)
 
 
@@ -232,11 +232,13 @@
 
 
 def _replace(fleet, guard, server, version):
-    fleet.processes[0][0].put_server(dataclasses.replace(server, born_ms=server.born_ms + 1))
+    fleet.processes[0][0].update_server(
+        dataclasses.replace(server, started_ms=server.started_ms + 1)
+    )
 
 
 def _leave(fleet, guard, server, version):
-    fleet.processes[0][0].put_server(dataclasses.replace(server, is_leaving=True))
+    fleet.processes[0][0].update_server(dataclasses.replace(server, is_leaving=True))
     _lose(fleet, guard, server, version)
 
 
@@ -252,13 +254,13 @@
 
 def _list_loaded(fleet, guard, server, version):
     models = (servers.ModelVersion(_MODEL, version),)
-    fleet.processes[0][0].put_server(dataclasses.replace(server, models=models))
+    fleet.processes[0][0].update_server(dataclasses.replace(server, models=models))
     _lose(fleet, guard, server, version)
 
 
 def _lose_late(fleet, guard, server, version):
     fleet.now += _LATE_SECONDS
-    fleet.processes[0][0].note_heard()
+    fleet.processes[0][0].record_list_read()
     _lose(fleet, guard, server, version)
 
 
--- a/features/steps/direct_calls_steps.py
+++ b/features/steps/direct_calls_steps.py
@@ -20,7 +20,7 @@
     chooser = router.Router(7)
     known = directory.Directory(chooser, context.caller)
     for name in behaviours:
-        known.put_server(servers.Server(name, 1, "desk", "127.0.0.1:1", "z", 6, False, ()))
+        known.update_server(servers.Server(name, 1, "desk", "127.0.0.1:1", "z", 6, False, ()))
     context.dispatcher = calls.CallDispatcher(known, chooser, context.caller)
 
 
@@ -89,7 +89,7 @@
         kind = routes.RouteKind.IDEMPOTENT
         route = routes.Route("calls", "h", "/calls/", kind, 1, 1, 0, share, 1, False, False, 0, 0)
         backends = (routes.Backend("desk", (), 1),)
-        known.put_table(routes.RouteTable(1, (route,), backends, routes.Limits(1, 1, 1)))
+        known.update_table(routes.RouteTable(1, (route,), backends, routes.Limits(1, 1, 1)))
     context.lookup = route_lookup.RouteLookup(known, lambda: heard == "has not heard")
 
 
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -9,7 +9,7 @@
 import server_fakes
 import virtual_time
 from oleander_base import clock
-from oleander_direct import call_outcomes, calls, comeback, directory, routes, servers
+from oleander_direct import call_outcomes, calls, directory, retry_advice, routes, servers
 from oleander_routing import router
 from oleanderdeal import direct_entry
 
@@ -60,7 +60,9 @@
         chooser = router.Router(11, context.time.read_now)
         known = directory.Directory(chooser, context.caller)
         for name, count in places.items():
-            known.put_server(servers.Server(name, 1, "desk", "127.0.0.1:1", "z", count, False, ()))
+            known.update_server(
+                servers.Server(name, 1, "desk", "127.0.0.1:1", "z", count, False, ())
+            )
         context.dispatcher = calls.CallDispatcher(known, chooser, context.caller)
     context.entry_threads = virtual_time.VirtualSemaphore(context.time, direct_entry.HTTP_THREADS)
     context.rate = sum(places.values()) / _SERVICE_SECONDS
@@ -69,8 +71,10 @@
 def _route():
     share = (routes.Share("desk", 1),)
     kind = routes.RouteKind.IDEMPOTENT
-    objective_ms = int(_OBJECTIVE_SECONDS * 1000)
-    return routes.Route("r", "h", "/", kind, 5000, objective_ms, 0, share, 3, False, False, 0, 0)
+    target_latency_ms = int(_OBJECTIVE_SECONDS * 1000)
+    return routes.Route(
+        "r", "h", "/", kind, 5000, target_latency_ms, 0, share, 3, False, False, 0, 0
+    )
 
 
 def _live(context, number):
@@ -165,12 +169,12 @@
 def count_outcomes(context, answered, refused, objective):
     context.now = 0.0
     context.objective = objective
-    context.advice = comeback.ComebackAdvice(5, lambda: context.now)
+    context.advice = retry_advice.RetryAdvisor(5, lambda: context.now)
     for _ in range(2):
         for _ in range(answered):
-            context.advice.note_answered()
+            context.advice.record_answered()
         for _ in range(refused):
-            context.advice.advise(objective)
+            context.advice.advise_retry_after_ms(objective)
         context.now += 1.0
 
 
@@ -181,7 +185,7 @@
 
 @behave.then("a refused caller comes back after {least:d} to {most:d} ms")
 def check_advice(context, least, most):
-    context.advised = [context.advice.advise(context.objective) for _ in range(9)]
+    context.advised = [context.advice.advise_retry_after_ms(context.objective) for _ in range(9)]
     assert least <= min(context.advised) and max(context.advised) <= most, context.advised
 
 
@@ -192,5 +196,5 @@
 
 @behave.then("the first caller that is refused comes back within {most:d} ms")
 def check_first(context, most):
-    advised = context.advice.advise(context.objective)
+    advised = context.advice.advise_retry_after_ms(context.objective)
     assert advised <= most, advised
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -40,7 +40,7 @@
         for model in "abc":
             planner.record_lag(model, context.lag)
         for version in range(2, versions + 2):
-            named = {model: directory.NamedVersion(version, now[0]) for model in "abc"}
+            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
             context.named = named
             has = [context.versions[key] for key in context.versions if key[1] == "a"]
             context.usable.append(sum(item >= version - context.lag for item in has))
@@ -80,7 +80,7 @@
         keeper_fakes.any_number,
     )
     for order in orders:
-        context.planner.record_outcome(order, 0, servers.OrderTaken(is_done=False))
+        context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
     return orders
 
 
@@ -93,13 +93,13 @@
     "each of {count:d} further versions of model a that ended servers is ordered to one server"
 )
 def check_trials(context, count):
-    now = [max(target.seen_at for target in context.named.values())]
+    now = [max(target.read_at for target in context.named.values())]
     newest = context.named["a"].version
     for version in range(newest + 1, newest + count + 1):
         now[0] += context.seconds
         with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
             guard = _guard_against(context, version, lambda: now[0])
-            named = {model: directory.NamedVersion(version, now[0]) for model in "abc"}
+            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
             context.planner.choose(
                 _list_engines(context),
                 named,
@@ -129,7 +129,7 @@
         guard.begin(lost, "a", version)
         guard.record_loss(lost)
     for engine in _list_engines(context):
-        known.put_server(engine)
+        known.update_server(engine)
     return guard
 
 
@@ -153,7 +153,7 @@
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         for _ in range(_SEEN_VERSIONS):
             context.version += 1
-            named = {m: directory.NamedVersion(context.version, context.now) for m in "abc"}
+            named = {m: directory.TargetVersion(context.version, context.now) for m in "abc"}
             until = context.now + context.seconds
             while context.now < until:
                 loading += [
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -63,7 +63,7 @@
         engine.loads = order.version
         engine.left_seconds = self.seconds
         engine.accepted += 1
-        return servers.OrderTaken(is_done=False)
+        return servers.OrderAccepted(is_done=False)
 
     def run(self, until):
         with unittest.mock.patch.object(clock, "read_now", lambda: self.now):
@@ -108,8 +108,8 @@
         known = types.SimpleNamespace(
             table=table,
             list_servers=self.list_servers,
-            list_named=lambda: self.named,
-            watch_lost=lambda on_lost: None,
+            list_target_versions=lambda: self.named,
+            add_loss_callback=lambda on_lost: None,
         )
         return keeper_fakes.create_keeper(known, {name}, self, self.shared)
 
@@ -131,7 +131,7 @@
 def name_versions(context, count, seconds):
     fleet = context.fleet
     for version in range(_FIRST_VERSION + 1, _FIRST_VERSION + 1 + count):
-        fleet.named = {_MODEL: directory.NamedVersion(version, fleet.now)}
+        fleet.named = {_MODEL: directory.TargetVersion(version, fleet.now)}
         context.last_named_at = fleet.now
         context.last = version
         if version < _FIRST_VERSION + count:
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -22,7 +22,7 @@
     context.engines = [_engine(name, int(version)) for name, version in pairs]
     context.now = 1000.0
     context.named = {
-        model: directory.NamedVersion(int(version), context.now)
+        model: directory.TargetVersion(int(version), context.now)
         for model, version in (item.split("=") for item in named.split())
     }
     context.planner = plan.OrderPlan()
@@ -47,7 +47,7 @@
         )
         for order in chosen:
             context.planned.append(order)
-            context.planner.record_outcome(order, 0, servers.OrderTaken(is_done=False))
+            context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
 
 
 @behave.when("{name} says that it has version {version:d} of m")
@@ -60,7 +60,7 @@
 
 @behave.when("the engines are named version {version:d}")
 def name_version(context, version):
-    context.named = {"m": directory.NamedVersion(version, context.now)}
+    context.named = {"m": directory.TargetVersion(version, context.now)}
     _plan_once(context, "all")
 
 
@@ -78,7 +78,7 @@
     context.named = {}
     for item in named.split():
         model, version, seen_at = item.replace("@", "=").split("=")
-        context.named[model] = directory.NamedVersion(int(version), 1000.0 + float(seen_at))
+        context.named[model] = directory.TargetVersion(int(version), 1000.0 + float(seen_at))
 
 
 @behave.then("it is ordered to load {model} first")
@@ -129,8 +129,8 @@
 @behave.when("an order to it ends as {outcome}")
 def note_outcome(context, outcome):
     outcomes = {
-        "taken": servers.OrderTaken(is_done=False),
-        "done": servers.OrderTaken(is_done=True),
+        "taken": servers.OrderAccepted(is_done=False),
+        "done": servers.OrderAccepted(is_done=True),
         "refused": servers.OrderRefused("409"),
         "unknown": servers.OrderUnknown("no answer"),
     }
--- a/features/steps/organisations_steps.py
+++ b/features/steps/organisations_steps.py
@@ -33,15 +33,15 @@
 @behave.when("a call comes with the header {header} for a {kind} route")
 def call_with_header(context, header, kind):
     header = "" if header == "none" else header
-    context.caller = organisations.identify(
+    context.caller = organisations.identify_caller(
         context.ring, header, kind == "public", context.is_current
     )
 
 
 def _describe(caller):
     if isinstance(caller, organisations.UnknownKey):
-        return "unknown" if caller.is_certain else "maybe unknown"
-    if not caller.has_secret:
+        return "unknown" if caller.is_definitive else "maybe unknown"
+    if not caller.hides_credentials:
         return "anybody"
     if not caller.organisation:
         return "anonymous"
@@ -63,10 +63,10 @@
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         context.known = directory.Directory(router.Router(1), server_fakes.UnusedCaller())
         if configuration == "a configuration":
-            context.known.put_table(routes.RouteTable(1, (), (), _LIMITS, _ring("red")))
-        context.known.record_configuration_heard()
+            context.known.update_table(routes.RouteTable(1, (), (), _LIMITS, _ring("red")))
+        context.known.record_configuration_read()
         context.now += seconds
-        context.known.note_heard()
+        context.known.record_list_read()
 
 
 @behave.when("a caller presents {key}")
@@ -113,7 +113,7 @@
 @behave.then("a key is found by comparing it with at most {most:d} others")
 def check_cost(context, most):
     key = _CountedKey("b70")
-    assert context.ring.find_holder(key).name == "o70"
+    assert context.ring.find_organisation(key).name == "o70"
     assert key.compared <= most, key.compared
 
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -157,7 +157,7 @@
 def check_removed(context, seconds, state):
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         context.now += seconds
-        context.known.note_heard()
+        context.known.record_list_read()
     is_in = context.known.find_server("good") is not None
     assert is_in == (state == "in rotation"), state
 
@@ -271,7 +271,7 @@
 def check_connections(context, requests, connections):
     assert len(context.engine.requests) == requests, context.engine.requests
     assert context.engine.connections == connections, context.engine.connections
-    assert context.outcomes == [servers.OrderTaken(True)] * (requests // 2), context.outcomes
+    assert context.outcomes == [servers.OrderAccepted(True)] * (requests // 2), context.outcomes
 
 
 @behave.given("a store that ends while it reads an append on a {connection} connection")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -102,7 +102,7 @@
     context.known = known = directory.Directory(chooser, context.caller)
     context.caller.on_end = lambda server, behaviour: _end(known, server, behaviour)
     for name in behaviours:
-        known.put_server(crash_fakes.describe_server(name))
+        known.update_server(crash_fakes.describe_server(name))
     context.ledger = ledger.CrashLedger(crash_fakes.SEED)
     context.published = Published()
     context.later_seconds = 0
@@ -118,7 +118,7 @@
 def _end(known, server, behaviour):
     """Let the list say what it said of a server that ended as planned."""
     if behaviour == "ends-leaving":
-        known.put_server(dataclasses.replace(server, is_leaving=True))
+        known.update_server(dataclasses.replace(server, is_leaving=True))
     elif behaviour == "ends-unlisted":
         known.remove_server(server.server_id)
 
@@ -192,7 +192,7 @@
 
 
 def _leave(context):
-    context.known.put_server(
+    context.known.update_server(
         dataclasses.replace(crash_fakes.describe_server("A"), is_leaving=True)
     )
     context.known.remove_server("A")
@@ -200,10 +200,10 @@
 
 _LOSSES = {
     "is gone from the list": lambda context: context.known.remove_server("A"),
-    "starts again under its id": lambda context: context.known.put_server(
-        dataclasses.replace(crash_fakes.describe_server("A"), born_ms=2)
+    "starts again under its id": lambda context: context.known.update_server(
+        dataclasses.replace(crash_fakes.describe_server("A"), started_ms=2)
     ),
-    "has a successor at its address": lambda context: context.known.put_server(
+    "has a successor at its address": lambda context: context.known.update_server(
         crash_fakes.describe_server("Z", "A:1")
     ),
     "leaves and is gone": _leave,
@@ -225,4 +225,4 @@
 
 @behave.when("server A is listed again")
 def list_again(context):
-    context.known.put_server(crash_fakes.describe_server("A"))
+    context.known.update_server(crash_fakes.describe_server("A"))
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -27,7 +27,7 @@
         self.group = tasks.TaskGroup(name, 4)
         known = directory.Directory(router.Router(7), server_fakes.UnusedCaller())
         for server in "AB":
-            known.put_server(crash_fakes.describe_server(server))
+            known.update_server(crash_fakes.describe_server(server))
         topic = crash_records.TOPIC
         writer = crash_records.CrashWriter(self.crashes, self.log, topic, self.group)
         sink = crash_records.CrashSink(self.crashes)
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -243,7 +243,7 @@
     caller = server_fakes.FakeCaller({"s1": behaves})
     chooser = router.Router(7)
     known = directory.Directory(chooser, caller)
-    known.put_server(servers.Server("s1", 1, "desk", "127.0.0.1:1", "z", 6, False, ()))
+    known.update_server(servers.Server("s1", 1, "desk", "127.0.0.1:1", "z", 6, False, ()))
     context.counter = usage.UsageCounter(_WINDOW_MS)
     context.dispatcher = calls.CallDispatcher(known, chooser, caller, context.counter)
 
--- a/libs/direct/oleander_direct/__init__.py
+++ b/libs/direct/oleander_direct/__init__.py
@@ -3,23 +3,23 @@
 from oleander_direct import (
     call_outcomes,
     calls,
-    comeback,
     crash_guard,
     directory,
+    fair_share,
     organisations,
+    retry_advice,
     routes,
     servers,
-    shares,
 )
 
 __all__ = [
     "call_outcomes",
     "calls",
-    "comeback",
+    "retry_advice",
     "crash_guard",
     "directory",
     "organisations",
     "routes",
     "servers",
-    "shares",
+    "fair_share",
 ]
--- a/libs/direct/oleander_direct/call_outcomes.py
+++ b/libs/direct/oleander_direct/call_outcomes.py
@@ -14,7 +14,7 @@
 
     answer: servers.CallAnswer
     server_id: str
-    errors: int = 0
+    error_count: int = 0
     """How many servers ran the request and answered `servers.FAILED_STATUS`."""
 
 
--- a/libs/direct/oleander_direct/call_progress.py
+++ b/libs/direct/oleander_direct/call_progress.py
@@ -3,9 +3,9 @@
 import dataclasses
 
 from oleander_base import clock
-from oleander_direct import attempts, call_outcomes, comeback, routes, servers
+from oleander_direct import attempts, call_outcomes, retry_advice, routes, servers
 
-_LEAST_ATTEMPT_SECONDS = 0.02
+_MIN_ATTEMPT_SECONDS = 0.02
 """With less time left nothing is sent: no server answers in it, and it would work for nobody."""
 
 
@@ -19,8 +19,8 @@
     deadline: clock.Deadline
     is_windowed: bool
     excluded: set[str] = dataclasses.field(default_factory=set)
-    sent: int = 0
-    errors: int = 0
+    sent_count: int = 0
+    error_count: int = 0
     may_have_run: bool = False
     last_failure: call_outcomes.Answered | None = None
     reason: str = ""
@@ -28,45 +28,45 @@
     """Whether servers had ended under it when an attempt began."""
     quarantine: clock.Deadline | None = None
     """Until when it is kept from servers, where that is why none was asked."""
-    is_over: bool = False
+    is_finished: bool = False
     """Attempts that are still running are no longer wanted."""
 
     @property
     def priority(self) -> int:
         """The organisation's priority, or the route's where it has none."""
-        chosen = self.request.priority
-        return self.route.priority if chosen is None else chosen
+        own_priority = self.request.priority
+        return self.route.priority if own_priority is None else own_priority
 
     @property
     def may_send(self) -> bool:
         """Whether another server may be asked."""
-        if self.sent >= self.route.most_servers:
+        if self.sent_count >= self.route.max_servers:
             return False
         if self.may_have_run and not self.request.may_repeat:
             return False
-        return self.deadline.remaining > _LEAST_ATTEMPT_SECONDS
+        return self.deadline.remaining > _MIN_ATTEMPT_SECONDS
 
     def record_attempt(
-        self, answered: attempts.Attempted, server_id: str
+        self, result: attempts.AttemptResult, server_id: str
     ) -> call_outcomes.Answered | None:
         """Record one attempt; return the final answer, or nothing where another may do better."""
-        if answered.is_error():
-            self._record_failure(answered.error)
+        if result.is_error():
+            self._record_failure(result.error)
             return None
-        answer = answered.ok
-        if answer.did_not_run or answer.is_other_server:
+        answer = result.ok
+        if answer.did_not_run or answer.is_wrong_server:
             self.reason = f"refused-{answer.status}"
             return None
         self.may_have_run = True
         if answer.status < attempts.FIRST_FAILURE_STATUS:
             return call_outcomes.Answered(answer, server_id)
         if answer.status == servers.FAILED_STATUS:
-            self.errors += 1
-        self.last_failure = call_outcomes.Answered(answer, server_id, self.errors)
+            self.error_count += 1
+        self.last_failure = call_outcomes.Answered(answer, server_id, self.error_count)
         self.reason = f"status-{answer.status}"
         return None
 
-    def conclude(self, advice: comeback.ComebackAdvice) -> call_outcomes.CallOutcome:
+    def conclude(self, advisor: retry_advice.RetryAdvisor) -> call_outcomes.CallOutcome:
         """Return the outcome where no answer is final; a refusal says when to come back."""
         if self.last_failure is not None:
             return self.last_failure
@@ -74,10 +74,12 @@
             return call_outcomes.Unresolved(self.reason)
         if self.quarantine is not None:
             return call_outcomes.Refused(call_outcomes.QUARANTINED, self.quarantine.remaining_ms)
-        return call_outcomes.Refused(self.reason, advice.advise(self.route.objective_ms))
+        return call_outcomes.Refused(
+            self.reason, advisor.advise_retry_after_ms(self.route.target_latency_ms)
+        )
 
     def _record_failure(self, failure: servers.CallFailure) -> None:
         self.may_have_run = self.may_have_run or failure.was_sent
-        self.reason = failure.detail[: attempts.MOST_LOGGED_CHARACTERS]
+        self.reason = failure.detail[: attempts.MAX_LOGGED_CHARACTERS]
         if not failure.was_sent:
-            self.sent -= 1
+            self.sent_count -= 1
--- a/libs/direct/oleander_direct/calls.py
+++ b/libs/direct/oleander_direct/calls.py
@@ -9,30 +9,30 @@
     attempts,
     call_outcomes,
     call_progress,
-    comeback,
     crash_guard,
     directory,
+    fair_share,
     fingerprints,
+    retry_advice,
     routes,
     servers,
-    shares,
 )
 from oleander_duties import usage
 from oleander_routing import retries, router
 
-_REPLY_PART = 0.05
+_REPLY_FRACTION = 0.05
 """The part of a caller's time that is kept for the way back."""
-_MOST_REPLY_SECONDS = 0.1
+_MAX_REPLY_SECONDS = 0.1
 """Above the way back between any two places of one region, with a retransmission."""
-_HEDGE_PART = 0.4
+_HEDGE_FRACTION = 0.4
 """A second server is asked after this part of the objective, so that it can still meet it."""
-_MOST_HEDGES = 20
+_MAX_SAVED_HEDGES = 20
 """Saved up for a burst: what one slow server gets of a second's calls."""
 _HEDGE_PERCENT = 15
 """Hedges in percent of requests: they cost the servers less than one slow server costs callers."""
 _POLL_SECONDS = 0.05
 """How often a waiting request looks whether its caller is still there."""
-_MOST_RUNNING = 64
+_MAX_RUNNING_ATTEMPTS = 64
 """Attempts of one process that run at once; more wait for a thread."""
 
 
@@ -53,23 +53,25 @@
 
     def __init__(
         self,
-        known: directory.Directory,
+        directory_: directory.Directory,
         router_: router.Router,
         caller: servers.ServerCaller,
         counter: usage.UsageCounter | None = None,
-        shared: shares.ConcurrencyShares | None = None,
+        limiter: fair_share.FairShareLimiter | None = None,
         guard: crash_guard.CrashGuard | None = None,
     ) -> None:
         """Take what counts requests that begin, shares places out and keeps requests back."""
         self._guard = guard
-        self._shares = shared
-        self._directory = known
+        self._limiter = limiter
+        self._directory = directory_
         self._router = router_
         self._attempts = attempts.AttemptRunner(router_, caller, counter, guard)
-        self._hedges = retries.RetryBudget(_HEDGE_PERCENT, _MOST_HEDGES)
+        self._hedges = retries.RetryBudget(_HEDGE_PERCENT, _MAX_SAVED_HEDGES)
         self._random = random.Random()
-        self._comeback = comeback.ComebackAdvice(self._random.getrandbits(32), clock.read_now)
-        self._pool = concurrent.futures.ThreadPoolExecutor(_MOST_RUNNING, "call")
+        self._retry_advisor = retry_advice.RetryAdvisor(
+            self._random.getrandbits(32), clock.read_now
+        )
+        self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_RUNNING_ATTEMPTS, "call")
 
     def call(
         self,
@@ -81,20 +83,22 @@
     ) -> call_outcomes.CallOutcome:
         """Return what became of a request, at the latest a little before its deadline."""
         organisation = request.organisation
-        if self._shares is None or not organisation:
+        if self._limiter is None or not organisation:
             return self._call(route, request, deadline, is_gone, is_windowed)
-        if not self._shares.try_enter(organisation):
-            return self._refuse_burst(route, request)
+        if not self._limiter.try_acquire(organisation):
+            return self._refuse_over_share(route, request)
         try:
             return self._call(route, request, deadline, is_gone, is_windowed)
         finally:
-            self._shares.leave(organisation)
+            self._limiter.release(organisation)
 
-    def _refuse_burst(
+    def _refuse_over_share(
         self, route: routes.Route, request: servers.CallRequest
     ) -> call_outcomes.Refused:
         """Refuse a request whose organisation has its part of the places, while they are short."""
-        refused = call_outcomes.Refused("share-in-use", self._comeback.advise(route.objective_ms))
+        refused = call_outcomes.Refused(
+            "share-in-use", self._retry_advisor.advise_retry_after_ms(route.target_latency_ms)
+        )
         metrics.count(metrics.REQUESTS)
         metrics.count(metrics.REFUSED)
         log.logger.bind(
@@ -116,18 +120,22 @@
         is_windowed: bool,
     ) -> call_outcomes.CallOutcome:
         remaining = deadline.remaining
-        kept = min(_MOST_REPLY_SECONDS, remaining * _REPLY_PART)
-        limited = deadline.earlier(max(0.0, min(remaining - kept, route.timeout_ms / 1000)))
+        reply_seconds = min(_MAX_REPLY_SECONDS, remaining * _REPLY_FRACTION)
+        attempt_deadline = deadline.earlier(
+            max(0.0, min(remaining - reply_seconds, route.timeout_ms / 1000))
+        )
         backend = route.pick_backend(self._random)
-        progress = call_progress.CallProgress(request, route, backend, limited, is_windowed)
+        progress = call_progress.CallProgress(
+            request, route, backend, attempt_deadline, is_windowed
+        )
         self._hedges.note_fresh()
         outcome = self._run(progress, is_gone)
         if isinstance(outcome, call_outcomes.Answered):
-            self._comeback.note_answered()
-        self._note_outcome(progress, outcome, remaining - deadline.remaining)
+            self._retry_advisor.record_answered()
+        self._record_outcome(progress, outcome, remaining - deadline.remaining)
         return outcome
 
-    def _note_outcome(
+    def _record_outcome(
         self,
         progress: call_progress.CallProgress,
         outcome: call_outcomes.CallOutcome,
@@ -154,44 +162,44 @@
             reason=progress.reason,
             configuration=table.version if table else None,
             servers=len(self._directory.list_servers(progress.backend)),
-            list_age_ms=int(self._directory.silent_seconds * 1000),
+            list_age_ms=int(self._directory.list_age_seconds * 1000),
         ).info(type(outcome).__name__.lower())
 
     def _run(
         self, progress: call_progress.CallProgress, is_gone: collections.abc.Callable[[], bool]
     ) -> call_outcomes.CallOutcome:
-        running: dict[concurrent.futures.Future[attempts.Attempted], str] = {}
-        hedge_at = clock.read_now() + progress.route.objective_ms * _HEDGE_PART / 1000
+        running: dict[concurrent.futures.Future[attempts.AttemptResult], str] = {}
+        hedge_at = clock.read_now() + progress.route.target_latency_ms * _HEDGE_FRACTION / 1000
         try:
             while True:
                 if not running and not self._start(progress, running):
-                    return progress.conclude(self._comeback)
+                    return progress.conclude(self._retry_advisor)
                 pause = min(_POLL_SECONDS, progress.deadline.remaining)
                 done, _ = concurrent.futures.wait(
                     running, pause, concurrent.futures.FIRST_COMPLETED
                 )
                 for future in done:
                     server_id = running.pop(future)
-                    answered = progress.record_attempt(future.result(), server_id)
-                    if answered is not None:
-                        return answered
+                    outcome = progress.record_attempt(future.result(), server_id)
+                    if outcome is not None:
+                        return outcome
                 if is_gone():
                     progress.may_have_run = True
                     progress.reason = "caller-gone"
-                    return progress.conclude(self._comeback)
+                    return progress.conclude(self._retry_advisor)
                 if progress.deadline.is_past:
                     progress.may_have_run = progress.may_have_run or bool(running)
                     progress.reason = "timeout"
-                    return progress.conclude(self._comeback)
+                    return progress.conclude(self._retry_advisor)
                 if len(running) == 1 and clock.read_now() >= hedge_at:
                     self._hedge(progress, running)
         finally:
-            progress.is_over = True
+            progress.is_finished = True
 
     def _hedge(
         self,
         progress: call_progress.CallProgress,
-        running: dict[concurrent.futures.Future[attempts.Attempted], str],
+        running: dict[concurrent.futures.Future[attempts.AttemptResult], str],
     ) -> None:
         """
         Ask a second server: the first may be slow, silent, or its answer lost.
@@ -207,7 +215,7 @@
     def _start(
         self,
         progress: call_progress.CallProgress,
-        running: dict[concurrent.futures.Future[attempts.Attempted], str],
+        running: dict[concurrent.futures.Future[attempts.AttemptResult], str],
     ) -> bool:
         if not progress.may_send:
             progress.reason = progress.reason or "attempts-used"
@@ -221,22 +229,22 @@
         if chosen is None:
             return False
         progress.excluded.add(chosen.server_id)
-        progress.sent += 1
+        progress.sent_count += 1
         self._router.note_started(chosen.server_id, progress.is_windowed)
-        if progress.sent > 1:
+        if progress.sent_count > 1:
             metrics.count(metrics.RETRIES)
         running[self._submit(progress, chosen)] = chosen.server_id
         return True
 
     def _submit(
         self, progress: call_progress.CallProgress, server: servers.Server
-    ) -> concurrent.futures.Future[attempts.Attempted]:
+    ) -> concurrent.futures.Future[attempts.AttemptResult]:
         return self._pool.submit(
             self._attempts.run,
             server,
             progress.request,
             progress.deadline,
-            lambda: progress.is_over,
+            lambda: progress.is_finished,
         )
 
     def _find_quarantine(self, progress: call_progress.CallProgress) -> clock.Deadline | None:
@@ -248,12 +256,12 @@
         """Return the next server; suspects are kept apart where another server can be had."""
         if self._guard is not None and self._guard.is_suspect(progress.request):
             progress.was_suspect = True
-            chosen = self._choose_beside(progress, self._guard.list_suspect_servers())
+            chosen = self._choose_excluding(progress, self._guard.list_suspect_servers())
             if chosen is not None:
                 return chosen
-        return self._choose_beside(progress, frozenset())
+        return self._choose_excluding(progress, frozenset())
 
-    def _choose_beside(
+    def _choose_excluding(
         self, progress: call_progress.CallProgress, avoided: frozenset[str]
     ) -> servers.Server | None:
         wanted = router.RouteRequest(
--- a/libs/direct/oleander_direct/crash_guard.py
+++ b/libs/direct/oleander_direct/crash_guard.py
@@ -11,7 +11,7 @@
 from oleander_direct import directory, fingerprints, servers, unanswered
 from oleander_quarantine import ledger, records
 
-_MOST_LOST = 256
+_MAX_LOST_SERVERS = 256
 """Lost servers remembered for attempts that have not ended yet."""
 
 
@@ -33,7 +33,7 @@
     NOT_SENT = "not-sent"
     ANSWERED = "answered"
     """The server ran the request and says so."""
-    HEARD = "heard"
+    RESPONDED = "heard"
     """The server said that it did not run the request, or failed."""
     NO_ANSWER = "no-answer"
     SERVER_ENDED = "server-ended"
@@ -56,29 +56,33 @@
 
     def __init__(
         self,
-        known: directory.Directory,
+        directory_: directory.Directory,
         crashes: ledger.CrashLedger,
         publisher: CrashPublisher,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
     ) -> None:
-        self._directory = known
+        self._directory = directory_
         self._ledger = crashes
         self._publisher = publisher
         self._lock = threading.Lock()
-        self._running: collections.Counter[str] = collections.Counter()
-        self._was_shared: set[str] = set()
-        self._suspects: collections.Counter[str] = collections.Counter()
+        self._running_counts: collections.Counter[str] = collections.Counter()
+        self._shared_incarnations: set[str] = set()
+        self._suspect_counts: collections.Counter[str] = collections.Counter()
         self._unanswered = unanswered.UnansweredAttempts(read_now)
-        self._lost: collections.deque[str] = collections.deque(maxlen=_MOST_LOST)
-        known.watch_lost(self.record_loss)
+        self._lost_incarnations: collections.deque[str] = collections.deque(
+            maxlen=_MAX_LOST_SERVERS
+        )
+        directory_.add_loss_callback(self.record_loss)
 
     def find_quarantine(
-        self, request: servers.CallRequest, is_of_batch: bool
+        self, request: servers.CallRequest, is_batch_item: bool
     ) -> clock.Deadline | None:
         """Return the end of a request's quarantine, or nothing where there is none."""
         if self._ledger.is_empty:
             return None
-        first = ledger.BATCH_QUARANTINE_SECONDS if is_of_batch else ledger.CALL_QUARANTINE_SECONDS
+        first = (
+            ledger.BATCH_QUARANTINE_SECONDS if is_batch_item else ledger.CALL_QUARANTINE_SECONDS
+        )
         return self._ledger.find_quarantine(fingerprints.compute_fingerprint(request), first)
 
     def is_suspect(self, request: servers.CallRequest) -> bool:
@@ -90,7 +94,7 @@
     def list_suspect_servers(self) -> frozenset[str]:
         """Return the ids of servers at which this process runs a suspect."""
         with self._lock:
-            return frozenset(self._suspects)
+            return frozenset(self._suspect_counts)
 
     def begin(self, request: servers.CallRequest, server: servers.Server) -> CrashWatch:
         """Register an attempt at a server; the caller finishes it."""
@@ -98,11 +102,11 @@
         is_suspect = self._ledger.is_suspect(fingerprint)
         watch = CrashWatch(request.request_id, fingerprint, server, is_suspect)
         with self._lock:
-            self._running[server.incarnation] += 1
-            if self._running[server.incarnation] > 1:
-                self._was_shared.add(server.incarnation)
+            self._running_counts[server.incarnation] += 1
+            if self._running_counts[server.incarnation] > 1:
+                self._shared_incarnations.add(server.incarnation)
             if is_suspect:
-                self._suspects[server.server_id] += 1
+                self._suspect_counts[server.server_id] += 1
         return watch
 
     def finish(self, watch: CrashWatch, end: AttemptEnd) -> None:
@@ -110,9 +114,9 @@
         if end is AttemptEnd.SERVER_ENDED:
             self._record_crash(watch)
         elif end is AttemptEnd.NO_ANSWER:
-            self._record_silence(watch)
+            self._record_no_answer(watch)
         elif end is not AttemptEnd.NOT_SENT:
-            self._record_heard(watch.server)
+            self._record_sign_of_life(watch.server)
         if end is AttemptEnd.ANSWERED:
             self._record_answer(watch)
         self._unregister(watch)
@@ -120,11 +124,11 @@
     def record_loss(self, server: servers.Server) -> None:
         """Record the loss of a server that had not announced that it leaves."""
         with self._lock:
-            self._lost.append(server.incarnation)
-            attempts = self._unanswered.take(server.incarnation)
+            self._lost_incarnations.append(server.incarnation)
+            attempts = self._unanswered.pop_incarnation(server.incarnation)
         for item in attempts:
             crash = records.create_crash(item.fingerprint, item.incarnation, item.was_alone)
-            self._record(crash, item.request_id)
+            self._record_and_publish(crash, item.request_id)
 
     def _record_crash(self, watch: CrashWatch) -> None:
         """Record a crash; a server that was leaving, or had left the list, ended as planned."""
@@ -135,26 +139,26 @@
         crash = records.create_crash(
             watch.fingerprint, server.incarnation, self._was_alone(server)
         )
-        self._record(crash, watch.request_id)
+        self._record_and_publish(crash, watch.request_id)
 
-    def _record_silence(self, watch: CrashWatch) -> None:
+    def _record_no_answer(self, watch: CrashWatch) -> None:
         """Record that a server did not answer; if it is lost already, it ended under this."""
         incarnation = watch.server.incarnation
         was_alone = self._was_alone(watch.server)
         listed = self._directory.find_server(watch.server.server_id)
         is_listed = listed is not None and listed.incarnation == incarnation
         with self._lock:
-            is_lost = incarnation in self._lost and not is_listed
+            is_lost = incarnation in self._lost_incarnations and not is_listed
             if not is_lost:
                 self._unanswered.add(watch.request_id, watch.fingerprint, incarnation, was_alone)
         if is_lost:
             crash = records.create_crash(watch.fingerprint, incarnation, was_alone)
-            self._record(crash, watch.request_id)
+            self._record_and_publish(crash, watch.request_id)
 
-    def _record_heard(self, server: servers.Server) -> None:
+    def _record_sign_of_life(self, server: servers.Server) -> None:
         """Record a sign of life: the server did not end under earlier attempts."""
         with self._lock:
-            self._unanswered.take(server.incarnation)
+            self._unanswered.pop_incarnation(server.incarnation)
 
     def _record_answer(self, watch: CrashWatch) -> None:
         """Record that a server ran a request and answered it."""
@@ -171,9 +175,9 @@
 
     def _was_alone(self, server: servers.Server) -> bool:
         with self._lock:
-            return server.incarnation not in self._was_shared
+            return server.incarnation not in self._shared_incarnations
 
-    def _record(self, crash: records.Crash, request_id: str) -> None:
+    def _record_and_publish(self, crash: records.Crash, request_id: str) -> None:
         if not self._ledger.record_crash(crash.key, crash.was_alone):
             return
         metrics.count(metrics.CRASHES)
@@ -191,11 +195,11 @@
     def _unregister(self, watch: CrashWatch) -> None:
         server = watch.server
         with self._lock:
-            _decrement(self._running, server.incarnation)
-            if server.incarnation not in self._running:
-                self._was_shared.discard(server.incarnation)
+            _decrement(self._running_counts, server.incarnation)
+            if server.incarnation not in self._running_counts:
+                self._shared_incarnations.discard(server.incarnation)
             if watch.is_suspect:
-                _decrement(self._suspects, server.server_id)
+                _decrement(self._suspect_counts, server.server_id)
 
 
 def _decrement(counts: collections.Counter[str], name: str) -> None:
--- a/libs/direct/oleander_direct/directory.py
+++ b/libs/direct/oleander_direct/directory.py
@@ -8,18 +8,18 @@
 from oleander_direct import routes, servers
 from oleander_routing import peers, router
 
-RETURN_SECONDS = 2.0
+REMOVAL_GRACE_SECONDS = 2.0
 """Servers whose registration lapsed in an outage of the platform are back within this time."""
 _OUTAGE_SECONDS = 2.0
 """A silence of the platform that can make registrations lapse."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class NamedVersion:
+class TargetVersion:
     """The version that a trainer wants its model to have."""
 
     version: int
-    seen_at: float
+    read_at: float
     """When this process read of it."""
 
 
@@ -37,14 +37,14 @@
         self._caller = caller
         self._lock = threading.Lock()
         self._servers: dict[str, servers.Server] = {}
-        self._doubted: dict[str, float] = {}
+        self._deferred_removals: dict[str, float] = {}
         self._table: routes.RouteTable | None = None
-        self._is_listed = False
-        self._heard_at = clock.read_now()
-        self._configuration_heard_at = clock.read_now()
+        self._has_server_list = False
+        self._list_read_at = clock.read_now()
+        self._configuration_read_at = clock.read_now()
         self._outage_ended_at = 0.0
-        self._named: dict[str, NamedVersion] = {}
-        self._on_lost: list[collections.abc.Callable[[servers.Server], None]] = []
+        self._target_versions: dict[str, TargetVersion] = {}
+        self._loss_callbacks: list[collections.abc.Callable[[servers.Server], None]] = []
 
     @property
     def table(self) -> routes.RouteTable | None:
@@ -52,41 +52,41 @@
         return self._table
 
     @property
-    def is_listed(self) -> bool:
+    def has_server_list(self) -> bool:
         """Whether the list of servers was read."""
-        return self._is_listed
+        return self._has_server_list
 
     @property
-    def silent_seconds(self) -> float:
+    def list_age_seconds(self) -> float:
         """For how long the platform was not heard."""
-        return clock.read_now() - self._heard_at
+        return clock.read_now() - self._list_read_at
 
     @property
     def configuration_age_seconds(self) -> float:
         """As of how long ago the configuration in force is known to be the newest."""
-        return clock.read_now() - self._configuration_heard_at
+        return clock.read_now() - self._configuration_read_at
 
-    def record_configuration_heard(self) -> None:
+    def record_configuration_read(self) -> None:
         """Note that the operator's records were read to their end."""
-        self._configuration_heard_at = clock.read_now()
+        self._configuration_read_at = clock.read_now()
 
-    def note_heard(self) -> None:
+    def record_list_read(self) -> None:
         """Note that the platform's list was read to its end."""
         now = clock.read_now()
-        if now - self._heard_at > _OUTAGE_SECONDS:
+        if now - self._list_read_at > _OUTAGE_SECONDS:
             self._outage_ended_at = now
             log.logger.bind(
-                event="platform-regained", silent_s=round(now - self._heard_at, 2)
+                event="platform-regained", silent_s=round(now - self._list_read_at, 2)
             ).info("the list of servers can be read again")
-        self._heard_at = now
-        self._is_listed = True
-        self._drop_doubted(now)
+        self._list_read_at = now
+        self._has_server_list = True
+        self._finish_deferred_removals(now)
 
-    def watch_lost(self, on_lost: collections.abc.Callable[[servers.Server], None]) -> None:
+    def add_loss_callback(self, on_lost: collections.abc.Callable[[servers.Server], None]) -> None:
         """Add a callback for servers that are gone without having announced it."""
-        self._on_lost.append(on_lost)
+        self._loss_callbacks.append(on_lost)
 
-    def put_table(self, table: routes.RouteTable) -> None:
+    def update_table(self, table: routes.RouteTable) -> None:
         """Put a configuration in force; an older one changes nothing."""
         with self._lock:
             if self._table is not None and table.version <= self._table.version:
@@ -99,49 +99,49 @@
             organisations=table.keys.count if table.keys is not None else None,
         ).info("in force")
 
-    def put_named(self, model: str, version: int) -> None:
+    def set_target_version(self, model: str, version: int) -> None:
         """Take in the newest version that a trainer named."""
         with self._lock:
-            known = self._named.get(model)
+            known = self._target_versions.get(model)
             if known is not None and version <= known.version:
                 return
-            self._named[model] = NamedVersion(version, clock.read_now())
+            self._target_versions[model] = TargetVersion(version, clock.read_now())
         log.logger.bind(event="version-named", model=model, version=version).info("noted")
 
-    def list_named(self) -> dict[str, NamedVersion]:
+    def list_target_versions(self) -> dict[str, TargetVersion]:
         """Return the newest version of each model."""
         with self._lock:
-            return dict(self._named)
+            return dict(self._target_versions)
 
-    def put_server(self, server: servers.Server) -> None:
+    def update_server(self, server: servers.Server) -> None:
         """Take in what a server says of itself."""
         with self._lock:
             known = self._servers.get(server.server_id)
             self._servers[server.server_id] = server
-            self._doubted.pop(server.server_id, None)
+            self._deferred_removals.pop(server.server_id, None)
         if known is None or known.incarnation != server.incarnation:
             log.logger.bind(
                 event="server-seen", server=server.incarnation, backend=server.backend
             ).info("in rotation")
-            self._report_replaced(known, server)
+            self._notify_replaced(known, server)
         if known is not None and known.is_leaving != server.is_leaving:
             log.logger.bind(event="server-leaving", server=server.incarnation).info("no new work")
-        self._router.update(server.server_id, _describe(server))
+        self._router.update(server.server_id, _build_peer_report(server))
 
     def remove_server(self, server_id: str) -> None:
         """Take in that a registration is gone."""
         with self._lock:
             if server_id not in self._servers:
                 return
-            returns_by = self._outage_ended_at + RETURN_SECONDS
-            if self.silent_seconds > _OUTAGE_SECONDS:
-                returns_by = clock.read_now() + RETURN_SECONDS
+            returns_by = self._outage_ended_at + REMOVAL_GRACE_SECONDS
+            if self.list_age_seconds > _OUTAGE_SECONDS:
+                returns_by = clock.read_now() + REMOVAL_GRACE_SECONDS
             if clock.read_now() < returns_by:
-                self._doubted[server_id] = returns_by
+                self._deferred_removals[server_id] = returns_by
                 return
-        self._drop(server_id)
+        self._remove_now(server_id)
 
-    def keep_only(self, server_ids: set[str]) -> None:
+    def retain_servers(self, server_ids: set[str]) -> None:
         """Remove the servers that a whole reading of the list did not name."""
         with self._lock:
             missing = [known for known in self._servers if known not in server_ids]
@@ -159,7 +159,7 @@
             found = [item for item in self._servers.values() if item.backend == backend]
         return [item for item in found if not item.is_leaving]
 
-    def _report_replaced(self, known: servers.Server | None, server: servers.Server) -> None:
+    def _notify_replaced(self, known: servers.Server | None, server: servers.Server) -> None:
         """Report the earlier incarnations that a new one replaces, by id or by address."""
         with self._lock:
             replaced = [
@@ -168,34 +168,34 @@
                 if item.address == server.address and item.server_id != server.server_id
             ]
         for item in [*replaced, *([known] if known is not None else [])]:
-            self._report_lost(item)
+            self._notify_loss(item)
 
-    def _report_lost(self, server: servers.Server) -> None:
+    def _notify_loss(self, server: servers.Server) -> None:
         if server.is_leaving:
             return
-        for on_lost in self._on_lost:
+        for on_lost in self._loss_callbacks:
             on_lost(server)
 
-    def _drop_doubted(self, now: float) -> None:
+    def _finish_deferred_removals(self, now: float) -> None:
         with self._lock:
-            expired = [name for name, until in self._doubted.items() if until <= now]
+            expired = [name for name, until in self._deferred_removals.items() if until <= now]
             for name in expired:
-                del self._doubted[name]
+                del self._deferred_removals[name]
         for name in expired:
-            self._drop(name)
+            self._remove_now(name)
 
-    def _drop(self, server_id: str) -> None:
+    def _remove_now(self, server_id: str) -> None:
         with self._lock:
             server = self._servers.pop(server_id, None)
         if server is None:
             return
         self._router.remove(server_id)
-        self._caller.forget(server.address)
+        self._caller.close_idle(server.address)
         log.logger.bind(event="server-gone", server=server.incarnation).info("out of rotation")
-        self._report_lost(server)
+        self._notify_loss(server)
 
 
-def _describe(server: servers.Server) -> peers.PeerReport:
+def _build_peer_report(server: servers.Server) -> peers.PeerReport:
     return peers.PeerReport(
         failure_domain=server.failure_domain,
         backend=server.backend,
--- a/libs/direct/oleander_direct/shares.py
+++ b/libs/direct/oleander_direct/fair_share.py
@@ -6,13 +6,13 @@
 
 from oleander_base import clock
 
-_RESERVED_PART = 4
+_RESERVED_DIVISOR = 4
 """One place in so many is kept for organisations that hold fewer than the one with the most."""
 _ACTIVE_SECONDS = 5.0
 """An organisation that called within this time counts among those that share the places."""
 
 
-class ConcurrencyShares:
+class FairShareLimiter:
     """
     Keeps one organisation's burst from taking all places; thread-safe.
 
@@ -23,42 +23,42 @@
     """
 
     def __init__(
-        self, places: int, read_now: collections.abc.Callable[[], float] = clock.read_now
+        self, slots: int, read_now: collections.abc.Callable[[], float] = clock.read_now
     ) -> None:
-        self._places = places
+        self._slots = slots
         self._read_now = read_now
         self._lock = threading.Lock()
-        self._taken: collections.Counter[str] = collections.Counter()
+        self._in_use: collections.Counter[str] = collections.Counter()
         self._called_at: dict[str, float] = {}
 
-    def try_enter(self, organisation: str) -> bool:
+    def try_acquire(self, organisation: str) -> bool:
         """Take a place for a request; return whether it may run."""
         with self._lock:
             self._record_call(organisation)
-            if self._is_short and self._holds_most(organisation):
+            if self._is_nearly_full and self._exceeds_fair_share(organisation):
                 return False
-            self._taken[organisation] += 1
+            self._in_use[organisation] += 1
             return True
 
-    def leave(self, organisation: str) -> None:
+    def release(self, organisation: str) -> None:
         """Give a place back."""
         with self._lock:
-            self._taken[organisation] -= 1
-            if self._taken[organisation] <= 0:
-                del self._taken[organisation]
+            self._in_use[organisation] -= 1
+            if self._in_use[organisation] <= 0:
+                del self._in_use[organisation]
 
     @property
-    def _is_short(self) -> bool:
-        free = self._places - self._taken.total()
-        return free * _RESERVED_PART < self._places
+    def _is_nearly_full(self) -> bool:
+        free = self._slots - self._in_use.total()
+        return free * _RESERVED_DIVISOR < self._slots
 
-    def _holds_most(self, organisation: str) -> bool:
+    def _exceeds_fair_share(self, organisation: str) -> bool:
         """Tell whether it holds more than its even part, and nobody holds more."""
         if len(self._called_at) == 1:
             return False
-        own = self._taken[organisation]
-        even = self._places / len(self._called_at)
-        return own > even and own >= max(self._taken.values())
+        own = self._in_use[organisation]
+        fair_share = self._slots / len(self._called_at)
+        return own > fair_share and own >= max(self._in_use.values())
 
     def _record_call(self, organisation: str) -> None:
         """Remember who called; those silent for long drop out from the front of the order."""
--- a/libs/direct/oleander_direct/organisations.py
+++ b/libs/direct/oleander_direct/organisations.py
@@ -23,7 +23,7 @@
     organisation: str = ""
     """Empty for a call without a key, where that is allowed."""
     priority: int | None = None
-    has_secret: bool = False
+    hides_credentials: bool = False
     """Whether the call's credentials are ours to check, and are hidden from servers."""
 
 
@@ -31,7 +31,7 @@
 class UnknownKey:
     """No organisation is known here that holds the presented key."""
 
-    is_certain: bool
+    is_definitive: bool
     """Whether the newest configuration has none; else another entry may know one."""
 
 
@@ -40,16 +40,18 @@
 
     def __init__(self, organisations: collections.abc.Iterable[Organisation]) -> None:
         self._organisations = tuple(organisations)
-        self._holders = {key: item for item in self._organisations for key in item.keys}
+        self._organisations_by_key = {
+            key: item for item in self._organisations for key in item.keys
+        }
 
     @property
     def count(self) -> int:
         """How many organisations there are."""
         return len(self._organisations)
 
-    def find_holder(self, key: str) -> Organisation | None:
+    def find_organisation(self, key: str) -> Organisation | None:
         """Return the organisation that holds a key."""
-        return self._holders.get(key)
+        return self._organisations_by_key.get(key)
 
 
 def read_key(authorization: str) -> str:
@@ -58,7 +60,7 @@
     return key.strip() if scheme.lower() == _SCHEME else ""
 
 
-def identify(
+def identify_caller(
     keys: KeyRing | None, authorization: str, is_public: bool, is_current: bool
 ) -> Caller | UnknownKey:
     """
@@ -70,9 +72,9 @@
     """
     if keys is None:
         return Caller()
-    holder = keys.find_holder(read_key(authorization))
+    holder = keys.find_organisation(read_key(authorization))
     if holder is not None:
         return Caller(holder.name, holder.priority, True)
     if is_public:
-        return Caller(has_secret=True)
+        return Caller(hides_credentials=True)
     return UnknownKey(is_current)
--- a/libs/direct/oleander_direct/routes.py
+++ b/libs/direct/oleander_direct/routes.py
@@ -36,11 +36,11 @@
     kind: RouteKind
     timeout_ms: int
     """The longest that the operator wants a caller kept waiting."""
-    objective_ms: int
+    target_latency_ms: int
     priority: int
     """0 is the most urgent."""
     shares: tuple[Share, ...]
-    most_servers: int
+    max_servers: int
     """To so many servers one request may be sent."""
     is_resumable: bool
     is_single_version: bool
@@ -64,7 +64,7 @@
             return ""
         return source.choices(usable, [share.weight for share in usable])[0].backend
 
-    def pick_backend_of(self, key: str) -> str:
+    def pick_backend_by_key(self, key: str) -> str:
         """Return a backend by the shares, the same for a key in every process."""
         return self.pick_backend(random.Random(identifiers.hash_text(key)))
 
@@ -113,7 +113,7 @@
         """Return a backend."""
         return next((item for item in self.backends if item.name == name), None)
 
-    def wants_single_version(self, backend: str) -> bool:
+    def requires_single_version(self, backend: str) -> bool:
         """Tell whether any route of a backend wants texts of one version."""
         return any(
             route.is_single_version and any(share.backend == backend for share in route.shares)
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -25,7 +25,7 @@
     """One incarnation of a backend server, as it describes itself in the platform's list."""
 
     server_id: str
-    born_ms: int
+    started_ms: int
     """When it started, by its own clock; tells incarnations of one id apart."""
     backend: str
     address: str
@@ -37,7 +37,7 @@
     @property
     def incarnation(self) -> str:
         """A name for this run of the server."""
-        return f"{self.server_id}/{self.born_ms}"
+        return f"{self.server_id}/{self.started_ms}"
 
     def find_version(self, model: str) -> int | None:
         """Return the version that it has of a model."""
@@ -71,7 +71,7 @@
     body: bytes
     did_not_run: bool
     """Whether the server stated that it did nothing."""
-    is_other_server: bool
+    is_wrong_server: bool
     """Whether another server has the address now; it did nothing."""
     stamp: str
     """The server's proof that it ran the request; empty where it gave none."""
@@ -132,10 +132,10 @@
 
     model: str
     version: int
-    keeps_running: bool
+    keeps_requests_running: bool
     """Whether what runs goes on under the new weights; else it ends first."""
     holder: str
-    fencing: int
+    fencing_token: int
     accepted_orders: int
     """The order has effect only while the server has accepted just so many."""
 
@@ -155,7 +155,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class OrderTaken:
+class OrderAccepted:
     """The server carries it out, or has done so."""
 
     is_done: bool
@@ -175,7 +175,7 @@
     detail: str
 
 
-OrderOutcome = OrderTaken | OrderRefused | OrderUnknown
+OrderOutcome = OrderAccepted | OrderRefused | OrderUnknown
 
 
 class ServerCaller(abc.ABC):
@@ -212,5 +212,5 @@
         """Order a server to load weights."""
 
     @abc.abstractmethod
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to a server that is gone."""
--- a/libs/direct/oleander_direct/unanswered.py
+++ b/libs/direct/oleander_direct/unanswered.py
@@ -6,9 +6,9 @@
 
 from oleander_base import clock
 
-WATCHED_SECONDS = 8.0
+ATTRIBUTION_SECONDS = 8.0
 """A lost server leaves the list within a few heartbeats, or is replaced at its address."""
-_MOST_ATTEMPTS = 1024
+_MAX_ATTEMPTS = 1024
 """Past this the attempt that ended first is no longer watched."""
 
 
@@ -34,17 +34,17 @@
     def __init__(self, read_now: collections.abc.Callable[[], float] = clock.read_now) -> None:
         self._read_now = read_now
         self._attempts: collections.deque[UnansweredAttempt] = collections.deque(
-            maxlen=_MOST_ATTEMPTS
+            maxlen=_MAX_ATTEMPTS
         )
 
     def add(self, request_id: str, fingerprint: str, incarnation: str, was_alone: bool) -> None:
         """Keep an attempt that its server did not answer."""
-        expires_at = self._read_now() + WATCHED_SECONDS
+        expires_at = self._read_now() + ATTRIBUTION_SECONDS
         self._attempts.append(
             UnansweredAttempt(request_id, fingerprint, incarnation, was_alone, expires_at)
         )
 
-    def take(self, incarnation: str) -> list[UnansweredAttempt]:
+    def pop_incarnation(self, incarnation: str) -> list[UnansweredAttempt]:
         """Remove the attempts at a server; return those that have not expired."""
         if not self._attempts:
             return []
--- a/libs/orders/oleander_orders/load_guard.py
+++ b/libs/orders/oleander_orders/load_guard.py
@@ -42,7 +42,7 @@
         self._read_now = read_now
         self._lock = threading.Lock()
         self._loads: dict[str, _Load] = {}
-        known.watch_lost(self.record_loss)
+        known.add_loss_callback(self.record_loss)
 
     def find_limit(self, listed: list[servers.Server], model: str, version: int) -> int | None:
         """Return how many servers may load a version now; nothing for any number."""
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -83,7 +83,7 @@
     def choose(
         self,
         listed: list[servers.Server],
-        named: dict[str, directory.NamedVersion],
+        named: dict[str, directory.TargetVersion],
         models: tuple[str, ...],
         may_order: collections.abc.Callable[[servers.Server], bool],
         find_limit: LoadLimit,
@@ -101,7 +101,7 @@
         now = clock.read_now()
         self._forget(listed, now)
         for model, target in named.items():
-            self._pace.record_named(model, target.seen_at)
+            self._pace.record_named(model, target.read_at)
         self._update_placement(listed, frozenset(model for model in models if model in named))
         limits = {
             model: find_limit(listed, model, named[model].version)
@@ -114,7 +114,7 @@
             if model in named
             for server in self._list_due(listed, model, named[model], now)[: limits[model]]
         ]
-        due.sort(key=lambda item: (-self._find_lag(item), named[item.model].seen_at, item.model))
+        due.sort(key=lambda item: (-self._find_lag(item), named[item.model].read_at, item.model))
         busy = {incarnation for incarnation, _ in self._pending}
         planned: list[PlannedOrder] = []
         for order in due:
@@ -139,7 +139,7 @@
         self, order: PlannedOrder, accepted_orders: int, outcome: servers.OrderOutcome
     ) -> None:
         """Record what became of an order."""
-        if isinstance(outcome, servers.OrderTaken):
+        if isinstance(outcome, servers.OrderAccepted):
             if not outcome.is_done:
                 self._accepted[order.server.incarnation] = accepted_orders + 1
             self._add_pending(order, True, _TAKEN_SECONDS)
@@ -181,7 +181,7 @@
         self,
         listed: list[servers.Server],
         model: str,
-        target: directory.NamedVersion,
+        target: directory.TargetVersion,
         now: float,
     ) -> list[servers.Server]:
         """
@@ -201,7 +201,7 @@
             ),
             key=lambda item: identifiers.hash_text(f"{model}\n{item.server_id}"),
         )
-        waves = int((now - target.seen_at) / _WAVE_SECONDS) + 1
+        waves = int((now - target.read_at) / _WAVE_SECONDS) + 1
         missing = [
             server
             for rank, server in enumerate(ranked)
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -170,7 +170,7 @@
         if submitted.is_error():
             log.warn_bounded("batch-unread", submitted.error.detail, batch=batch.batch_id)
             return
-        backend = table.find_backend(route.pick_backend_of(batch.batch_id))
+        backend = table.find_backend(route.pick_backend_by_key(batch.batch_id))
         run = batch_run.BatchRun(batch, submitted.ok, backend.event_tokens if backend else 1)
         run.note_listed()
         resumed = self._load_partials(batch, run)
@@ -220,7 +220,7 @@
         if item is None:
             return False
         quarantine = (
-            self._guard.find_quarantine(item.call, is_of_batch=True) if self._guard else None
+            self._guard.find_quarantine(item.call, is_batch_item=True) if self._guard else None
         )
         if quarantine is not None:
             self._defer(item, quarantine)
@@ -294,7 +294,7 @@
 ) -> router.RouteRequest:
     """Return what a server has to be for an item of a batch."""
     return router.RouteRequest(
-        backend=route.pick_backend_of(run.submitted.batch_id),
+        backend=route.pick_backend_by_key(run.submitted.batch_id),
         affinity="",
         priority=_BATCH_PRIORITY,
         oldest_version=run.submitted.oldest_version,
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -7,7 +7,7 @@
 
 from oleander_base import clock, identifiers, log, tasks
 from oleander_batches import journal
-from oleander_direct import calls, crash_guard, directory, servers, shares
+from oleander_direct import calls, crash_guard, directory, fair_share, servers
 from oleander_duties import platform, usage
 from oleander_leases import lease
 from oleander_orders import load_guard, rights
@@ -150,7 +150,7 @@
         self._crashes = self._share_crashes(crashes, log_service)
         guard = crash_guard.CrashGuard(self._known, crashes, self._crashes)
         self._reporter, counter = self._create_reporter(log_service)
-        shared = shares.ConcurrencyShares(HTTP_THREADS)
+        shared = fair_share.FairShareLimiter(HTTP_THREADS)
         dispatcher = calls.CallDispatcher(
             self._known, self._router, caller, counter, shared, guard
         )
@@ -284,7 +284,7 @@
         return self._known.table is not None and self._journal.index.is_caught_up
 
     def _is_silent(self) -> bool:
-        return not self._known.is_listed or self._known.silent_seconds > _SILENT_SECONDS
+        return not self._known.has_server_list or self._known.list_age_seconds > _SILENT_SECONDS
 
     def _is_outdated(self) -> bool:
         return self._is_silent() or self._known.configuration_age_seconds > _SILENT_SECONDS
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -97,7 +97,7 @@
         route = self._find_route(item)
         if route is None or not outcome.was_error:
             return None
-        if item.run.count_error(item.item_number) < route.most_servers:
+        if item.run.count_error(item.item_number) < route.max_servers:
             return None
         return _lose(item.item)
 
@@ -123,8 +123,8 @@
                 if isinstance(outcome, call_outcomes.Answered):
                     if outcome.answer.is_success and outcome.answer.stamp:
                         return _complete(item.item, sample, outcome.answer.stamp)
-                    errors += outcome.errors
-                    if errors >= route.most_servers:
+                    errors += outcome.error_count
+                    if errors >= route.max_servers:
                         return _lose(item.item)
                 pause = _choose_pause(outcome)
             self._group.pause(pause)
@@ -215,7 +215,7 @@
         if isinstance(ended, steps.Sample):
             return crash_guard.AttemptEnd.ANSWERED
         if self.was_answered or ended is not None:
-            return crash_guard.AttemptEnd.HEARD
+            return crash_guard.AttemptEnd.RESPONDED
         return (
             crash_guard.AttemptEnd.NO_ANSWER if self.was_sent else crash_guard.AttemptEnd.NOT_SENT
         )
@@ -291,7 +291,7 @@
     def _judge_answer(self, answer: servers.CallAnswer) -> submission.ItemResult | None:
         self.was_answered = True
         self.reason = f"status-{answer.status}"
-        if answer.did_not_run or answer.is_other_server:
+        if answer.did_not_run or answer.is_wrong_server:
             self.was_refused = True
             self._run.put_back(self._item)
             return None
--- a/programs/oleanderdeal/oleanderdeal/route_lookup.py
+++ b/programs/oleanderdeal/oleanderdeal/route_lookup.py
@@ -75,10 +75,10 @@
         if table is None:
             return expression.Error(NoAccess(False, _NO_CONFIGURATION, _RETRY_AFTER_MS))
         is_current = not self._is_outdated()
-        caller = organisations.identify(table.keys, authorization, is_public, is_current)
+        caller = organisations.identify_caller(table.keys, authorization, is_public, is_current)
         if isinstance(caller, organisations.Caller):
             return expression.Ok(caller)
-        if not caller.is_certain:
+        if not caller.is_definitive:
             return expression.Error(NoAccess(False, _OUTDATED, _RETRY_AFTER_MS))
         log.logger.bind(
             event="unauthorized",
--- a/programs/oleanderdeal/oleanderdeal/version_keeper.py
+++ b/programs/oleanderdeal/oleanderdeal/version_keeper.py
@@ -75,14 +75,14 @@
                 self._plan.record_lag(batch.accepted.model, batch.allowed_lag)
         self._check_taken()
         self._loading.clear()
-        named = self._directory.list_named()
+        named = self._directory.list_target_versions()
         for backend in engines:
-            keeps_running = not table.wants_single_version(backend.name)
+            keeps_requests_running = not table.requires_single_version(backend.name)
             servers_of = listed[backend.name]
             for order in self._plan.choose(
                 servers_of, named, backend.models, self._may_order, self._loads.find_limit
             ):
-                self._give(order, servers_of, keeps_running)
+                self._give(order, servers_of, keeps_requests_running)
 
     def _may_order(self, server: servers.Server) -> bool:
         return self._find_tenure(server) is not None
@@ -124,7 +124,7 @@
         return known
 
     def _give(
-        self, order: plan.PlannedOrder, listed: list[servers.Server], keeps_running: bool
+        self, order: plan.PlannedOrder, listed: list[servers.Server], keeps_requests_running: bool
     ) -> None:
         """Give one order, unless the server has the version or it is not the time."""
         state = self._read_state(order.server)
@@ -136,7 +136,7 @@
             self._plan.defer(order)
         else:
             accepted = self._plan.count_accepted(order.server, state.ok)
-            self._send(order, accepted, keeps_running)
+            self._send(order, accepted, keeps_requests_running)
 
     def _must_wait(self, order: plan.PlannedOrder, listed: list[servers.Server]) -> bool:
         """
@@ -151,7 +151,7 @@
         most_loading = plan.count_at_once(len(listed))
         return self._throttle.must_wait(order, placed, most_loading, self._is_loading)
 
-    def _send(self, order: plan.PlannedOrder, accepted: int, keeps_running: bool) -> None:
+    def _send(self, order: plan.PlannedOrder, accepted: int, keeps_requests_running: bool) -> None:
         """
         Send one order and take in what became of it.
 
@@ -165,9 +165,9 @@
         sent = servers.VersionOrder(
             model=order.model,
             version=order.version,
-            keeps_running=keeps_running,
+            keeps_requests_running=keeps_requests_running,
             holder=held.name,
-            fencing=tenure.fencing,
+            fencing_token=tenure.fencing,
             accepted_orders=accepted,
         )
         deadline = tenure.deadline.earlier(_ORDER_SECONDS)
