--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -94,23 +94,23 @@
         "self._expected_tokens = [0] * len(most_tokens)",
     ),
     "spread-rights": (
-        f"{_ORDERS}/rights.py",
+        f"{_ORDERS}/order_leases.py",
         "return identifiers.hash_text(server_id) % self._partitions",
         "return 0",
     ),
     "furthest-first": (
         f"{_ORDERS}/plan.py",
-        "(-self._find_lag(item), named[item.model].read_at, item.model)",
-        "(named[item.model].read_at, item.model)",
+        "(-self._compute_lag(item), targets[item.model].read_at, item.model)",
+        "(targets[item.model].read_at, item.model)",
     ),
     "versions-left-out": (
         f"{_ORDERS}/plan.py",
-        "return self._pace.is_crowded(count, count_at_once(count))",
+        "return self._capacity.exceeds_capacity(count, compute_wave_size(count))",
         "return False",
     ),
     "shared-servers": (
         f"{_ORDERS}/plan.py",
-        "        if not self._must_leave_out(len(listed)):",
+        "        if not self._must_skip_versions(len(listed)):",
         "        if listed:",
     ),
     "belief-that-ends": (
@@ -125,7 +125,7 @@
     ),
     "crowd": (
         f"{_PROGRAM}/version_keeper.py",
-        "        if not self._plan.may_overlap:",
+        "        if not self._plan.may_waves_overlap:",
         "        if order:",
     ),
 }
--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -35,16 +35,16 @@
     shared.ledgers.append(crashes)
     loads = load_guard.LoadGuard(known, crashes, shared, lambda: clock.read_now())
     held = types.SimpleNamespace(
-        want=lambda ids, dealt: None,
-        held=len(owned_ids),
-        find_right=lambda server_id: _find_right(owned_ids, server_id),
+        update_wanted=lambda ids, partitions: None,
+        held_count=len(owned_ids),
+        find_lease=lambda server_id: _find_lease(owned_ids, server_id),
     )
     owned = types.SimpleNamespace(partitions=frozenset())
     kept = types.SimpleNamespace(index=types.SimpleNamespace(list_open=list))
     return version_keeper.VersionKeeper(known, held, owned, kept, caller, None, loads)
 
 
-def _find_right(owned_ids, server_id):
+def _find_lease(owned_ids, server_id):
     if server_id not in owned_ids:
         return None
     tenure = lease.Tenure(1, clock.start_deadline(_TENURE_SECONDS))
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -221,10 +221,10 @@
     with fleet.patch_clock():
         guard = load_guard.LoadGuard(known, crashes, fleet.shared, lambda: fleet.now)
         for server in known.list_servers(_BACKEND):
-            guard.begin(server, _MODEL, version)
+            guard.register_load(server, _MODEL, version)
             _LOAD_ENDS[end](fleet, guard, server, version)
         fleet.restart_all()
-        context.limit = guard.find_limit(known.list_servers(_BACKEND), _MODEL, version)
+        context.limit = guard.find_server_limit(known.list_servers(_BACKEND), _MODEL, version)
 
 
 def _lose(fleet, guard, server, version):
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -34,11 +34,11 @@
 def name_versions(context, versions):
     context.loads = collections.Counter()
     context.usable = []
-    planner = context.planner = plan.OrderPlan()
+    planner = context.planner = plan.OrderPlanner()
     now = [1000.0]
     with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
         for model in "abc":
-            planner.record_lag(model, context.lag)
+            planner.record_allowed_lag(model, context.lag)
         for version in range(2, versions + 2):
             named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
             context.named = named
@@ -72,7 +72,7 @@
 
 
 def _load_planned(context, named):
-    orders = context.planner.choose(
+    orders = context.planner.plan_orders(
         _list_engines(context),
         named,
         tuple("abc"),
@@ -100,20 +100,20 @@
         with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
             guard = _guard_against(context, version, lambda: now[0])
             named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
-            context.planner.choose(
+            context.planner.plan_orders(
                 _list_engines(context),
                 named,
                 tuple("abc"),
                 keeper_fakes.any_server,
-                guard.find_limit,
+                guard.find_server_limit,
             )
             now[0] += _QUARANTINE_SECONDS
-            orders = context.planner.choose(
+            orders = context.planner.plan_orders(
                 _list_engines(context),
                 named,
                 tuple("abc"),
                 keeper_fakes.any_server,
-                guard.find_limit,
+                guard.find_server_limit,
             )
         tried = [order.server.server_id for order in orders if order.model == "a"]
         assert len(tried) == 1, f"version {version} is ordered to {tried}"
@@ -126,7 +126,7 @@
     guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedCrashes(), read_now)
     for number in range(ledger.MOST_CRASHES):
         lost = dataclasses.replace(_list_engines(context)[0], server_id=f"lost-{number}")
-        guard.begin(lost, "a", version)
+        guard.register_load(lost, "a", version)
         guard.record_loss(lost)
     for engine in _list_engines(context):
         known.update_server(engine)
@@ -143,7 +143,7 @@
     context.count, context.seconds = count, seconds
     context.versions = {(f"s{n}", model): 1 for n in range(count) for model in "abc"}
     context.now, context.version = 1000.0, 1
-    context.planner = plan.OrderPlan()
+    context.planner = plan.OrderPlanner()
 
 
 @behave.when("loads are seen to take {seconds:g} s")
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -8,7 +8,7 @@
 import keeper_fakes
 from oleander_base import clock
 from oleander_direct import directory, servers
-from oleander_orders import pace, placement, plan
+from oleander_orders import load_capacity, placement, plan
 
 
 def _engine(name, version):
@@ -25,7 +25,7 @@
         model: directory.TargetVersion(int(version), context.now)
         for model, version in (item.split("=") for item in named.split())
     }
-    context.planner = plan.OrderPlan()
+    context.planner = plan.OrderPlanner()
     context.planned = []
 
 
@@ -38,7 +38,7 @@
 
 def _plan_once(context, ids):
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
-        chosen = context.planner.choose(
+        chosen = context.planner.plan_orders(
             context.engines,
             context.named,
             ("m",),
@@ -84,7 +84,7 @@
 @behave.then("it is ordered to load {model} first")
 def check_first(context, model):
     with unittest.mock.patch.object(clock, "read_now", lambda: 1100.0):
-        orders = plan.OrderPlan().choose(
+        orders = plan.OrderPlanner().plan_orders(
             [context.engine],
             context.named,
             tuple("abc"),
@@ -135,7 +135,7 @@
         "unknown": servers.OrderUnknown("no answer"),
     }
     context.server = _engine("s1", 1)
-    context.planner = plan.OrderPlan()
+    context.planner = plan.OrderPlanner()
     order = plan.PlannedOrder(context.server, "m", 2)
     accepted = context.planner.count_accepted(context.server, context.state)
     context.planner.record_outcome(order, accepted, outcomes[outcome])
@@ -149,19 +149,19 @@
 @behave.given("versions of a model that come every {seconds:d} s")
 def start_pace(context, seconds):
     context.now = 1000.0
-    context.pace = pace.LoadPace()
+    context.capacity = load_capacity.LoadCapacity()
     for _ in range(3):
         context.now += seconds
-        context.pace.record_named("m", context.now)
+        context.capacity.record_version("m", context.now)
 
 
 @behave.when("{count:d} loads of {seconds:g} s each were seen")
 def record_loads(context, count, seconds):
     for _ in range(count):
-        context.pace.record_load(seconds)
+        context.capacity.record_load(seconds)
 
 
 @behave.then("{count:d} servers of which {at_once:d} load at once {state}")
 def check_pace(context, count, at_once, state):
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
-        assert context.pace.is_crowded(count, at_once) == (state == "can't keep up")
+        assert context.capacity.exceeds_capacity(count, at_once) == (state == "can't keep up")
--- a/libs/direct/oleander_direct/directory.py
+++ b/libs/direct/oleander_direct/directory.py
@@ -111,9 +111,7 @@
             if known is not None and version <= known.version:
                 return
             self._target_versions[model] = TargetVersion(version, clock.read_now())
-        log.logger.bind(event="version-named", model=model, version=version).info(
-            "the target version changed"
-        )
+        log.logger.bind(event="version-named", model=model, version=version).info("noted")
 
     def list_target_versions(self) -> dict[str, TargetVersion]:
         """Return the target version of each model."""
--- a/libs/orders/oleander_orders/load_guard.py
+++ b/libs/orders/oleander_orders/load_guard.py
@@ -8,12 +8,12 @@
 from oleander_direct import crash_guard, directory, servers
 from oleander_quarantine import ledger, records
 
-_WATCHED_SECONDS = 8.0
+_ATTRIBUTION_SECONDS = 8.0
 """A lost server leaves the list within a few heartbeats, or is replaced at its address."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Load:
+class _OrderedLoad:
     """The newest load that a server was ordered and is not known to have done."""
 
     model: str
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        known: directory.Directory,
+        directory_: directory.Directory,
         crashes: ledger.CrashLedger,
         publisher: crash_guard.CrashPublisher,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
@@ -41,10 +41,12 @@
         self._publisher = publisher
         self._read_now = read_now
         self._lock = threading.Lock()
-        self._loads: dict[str, _Load] = {}
-        known.add_loss_callback(self.record_loss)
+        self._loads: dict[str, _OrderedLoad] = {}
+        directory_.add_loss_callback(self.record_loss)
 
-    def find_limit(self, listed: list[servers.Server], model: str, version: int) -> int | None:
+    def find_server_limit(
+        self, listed: list[servers.Server], model: str, version: int
+    ) -> int | None:
         """Return how many servers may load a version now; nothing for any number."""
         fingerprint = _compute_fingerprint(model, version)
         if not self._ledger.is_recurrent(fingerprint):
@@ -64,7 +66,7 @@
         )
         return 0
 
-    def begin(self, server: servers.Server, model: str, version: int) -> None:
+    def register_load(self, server: servers.Server, model: str, version: int) -> None:
         """Register a load before it is ordered."""
         now = self._read_now()
         with self._lock:
@@ -72,7 +74,9 @@
                 name for name, item in self._loads.items() if item.expires_at < now
             ]:
                 del self._loads[incarnation]
-            self._loads[server.incarnation] = _Load(model, version, now + _WATCHED_SECONDS)
+            self._loads[server.incarnation] = _OrderedLoad(
+                model, version, now + _ATTRIBUTION_SECONDS
+            )
 
     def record_refused(self, server: servers.Server) -> None:
         """Record that a server does not carry out its order."""
@@ -100,7 +104,7 @@
         if (server.find_version(load.model) or 0) < load.version:
             self._record_crash(server, load)
 
-    def _record_crash(self, server: servers.Server, load: _Load) -> None:
+    def _record_crash(self, server: servers.Server, load: _OrderedLoad) -> None:
         fingerprint = _compute_fingerprint(load.model, load.version)
         crash = records.create_crash(fingerprint, server.incarnation, was_alone=False)
         if not self._ledger.record_crash(crash.key, crash.was_alone):
--- a/libs/orders/oleander_orders/load_throttle.py
+++ b/libs/orders/oleander_orders/load_throttle.py
@@ -7,9 +7,9 @@
 from oleander_direct import servers
 from oleander_orders import plan
 
-_MOST_ASKED = 12
+_MAX_ASKED_SERVERS = 12
 """Servers that are asked before an order; in a large fleet they are a sample of the others."""
-_MOST_WAIT_SECONDS = 8.0
+_MAX_WAIT_SECONDS = 8.0
 """After this an order is given all the same: servers that say for ever that they load must not
 keep the others from new weights."""
 
@@ -25,36 +25,36 @@
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self._waits_since: dict[tuple[str, str], float] = {}
+        self._waiting_since: dict[tuple[str, str], float] = {}
 
-    def must_wait(
+    def must_defer(
         self,
         order: plan.PlannedOrder,
         placed: list[servers.Server],
-        most_loading: int,
+        max_loading: int,
         is_loading: collections.abc.Callable[[servers.Server], bool],
     ) -> bool:
         """Ask some of the model's servers that do not show the version yet; too many may load."""
-        lacking = _list_lacking(order, placed)
-        asked = self._random.sample(lacking, min(_MOST_ASKED, len(lacking)))
+        outdated = _list_outdated(order, placed)
+        asked = self._random.sample(outdated, min(_MAX_ASKED_SERVERS, len(outdated)))
         loading = sum(map(is_loading, asked))
-        is_crowded = loading * len(lacking) >= most_loading * len(asked)
+        is_crowded = loading * len(outdated) >= max_loading * len(asked)
         if not asked or not is_crowded:
-            self._waits_since.pop(_find_key(order), None)
+            self._waiting_since.pop(_build_key(order), None)
             return False
         return not self._has_waited_long(order, loading, len(asked))
 
-    def forget_gone(self, listed: collections.abc.Iterable[servers.Server]) -> None:
+    def remove_lost_servers(self, listed: collections.abc.Iterable[servers.Server]) -> None:
         """Forget servers that are gone."""
         known = {server.incarnation for server in listed}
-        for key in [item for item in self._waits_since if item[0] not in known]:
-            del self._waits_since[key]
+        for key in [item for item in self._waiting_since if item[0] not in known]:
+            del self._waiting_since[key]
 
     def _has_waited_long(self, order: plan.PlannedOrder, loading: int, asked: int) -> bool:
-        key = _find_key(order)
+        key = _build_key(order)
         now = clock.read_now()
-        if key not in self._waits_since:
-            self._waits_since[key] = now
+        if key not in self._waiting_since:
+            self._waiting_since[key] = now
             log.logger.bind(
                 event="order-waits",
                 server=order.server.incarnation,
@@ -63,22 +63,22 @@
                 loading=loading,
                 asked=asked,
             ).info("too many servers load")
-        if now - self._waits_since[key] < _MOST_WAIT_SECONDS:
+        if now - self._waiting_since[key] < _MAX_WAIT_SECONDS:
             return False
-        del self._waits_since[key]
+        del self._waiting_since[key]
         return True
 
 
-def _find_key(order: plan.PlannedOrder) -> tuple[str, str]:
+def _build_key(order: plan.PlannedOrder) -> tuple[str, str]:
     return order.server.incarnation, order.model
 
 
-def _list_lacking(order: plan.PlannedOrder, listed: list[servers.Server]) -> list[servers.Server]:
+def _list_outdated(order: plan.PlannedOrder, listed: list[servers.Server]) -> list[servers.Server]:
     """Return the other servers that have the model, but not the version yet."""
     return [
         other
         for other in listed
         if other.incarnation != order.server.incarnation
-        and (has := other.find_version(order.model)) is not None
-        and has < order.version
+        and (version := other.find_version(order.model)) is not None
+        and version < order.version
     ]
--- a/libs/orders/oleander_orders/rights.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -8,11 +8,11 @@
 from oleander_platform import recordlog
 
 TOPIC = "oleander.orders"
-_LOOK_SECONDS = 0.5
+_POLL_SECONDS = 0.5
 """Between looks for free rights."""
 
 
-class OrderRights:
+class OrderLeases:
     """
     One right for each partition that has servers; safe to use from several threads.
 
@@ -37,54 +37,56 @@
         self._partitions = partitions
         self._group = group
         self._lock = threading.Lock()
-        self._rights: dict[int, lease.FencedLease] = {}
-        self._wanted: frozenset[int] = frozenset()
+        self._leases: dict[int, lease.FencedLease] = {}
+        self._wanted_partitions: frozenset[int] = frozenset()
 
     @property
-    def held(self) -> int:
+    def held_count(self) -> int:
         """How many rights this process holds."""
         with self._lock:
-            rights = list(self._rights.values())
-        return sum(1 for item in rights if item.find_tenure() is not None)
+            leases = list(self._leases.values())
+        return sum(1 for item in leases if item.find_tenure() is not None)
 
     def find_partition(self, server_id: str) -> int:
         """Return the partition that a server's right belongs to."""
         return identifiers.hash_text(server_id) % self._partitions
 
-    def want(self, server_ids: collections.abc.Iterable[str], dealt: frozenset[int]) -> None:
+    def update_wanted(
+        self, server_ids: collections.abc.Iterable[str], assigned_partitions: frozenset[int]
+    ) -> None:
         """Claim the rights to these servers in the partitions dealt to this process."""
-        wanted = frozenset(self.find_partition(item) for item in server_ids) & dealt
-        if wanted != self._wanted:
+        wanted = frozenset(self.find_partition(item) for item in server_ids) & assigned_partitions
+        if wanted != self._wanted_partitions:
             log.logger.bind(event="orders-wanted", partitions=sorted(wanted)).info("to claim")
-        self._wanted = wanted
+        self._wanted_partitions = wanted
         for partition in wanted:
-            self._start(partition)
+            self._start_holding(partition)
 
-    def find_right(self, server_id: str) -> lease.FencedLease | None:
+    def find_lease(self, server_id: str) -> lease.FencedLease | None:
         """Return the right to order a server, where this process watches or holds it."""
         with self._lock:
-            return self._rights.get(self.find_partition(server_id))
+            return self._leases.get(self.find_partition(server_id))
 
-    def release(self) -> None:
+    def release_all(self) -> None:
         """Give all rights up, once no order is on its way."""
         with self._lock:
-            rights = list(self._rights.values())
-        for item in rights:
+            leases = list(self._leases.values())
+        for item in leases:
             item.release()
 
-    def _start(self, partition: int) -> None:
+    def _start_holding(self, partition: int) -> None:
         with self._lock:
-            if partition in self._rights:
+            if partition in self._leases:
                 return
-            held = lease.FencedLease(self._log, TOPIC, self._host, self._gap_seconds, partition)
-            self._rights[partition] = held
-        self._group.keep(lambda: self._hold(partition, held))
+            lease_ = lease.FencedLease(self._log, TOPIC, self._host, self._gap_seconds, partition)
+            self._leases[partition] = lease_
+        self._group.keep(lambda: self._hold(partition, lease_))
 
-    def _hold(self, partition: int, held: lease.FencedLease) -> None:
+    def _hold(self, partition: int, lease_: lease.FencedLease) -> None:
         """Hold a right while it is wanted, and for as long as it is held."""
-        while not self._group.is_stopping and held.is_wanted:
-            if partition not in self._wanted and held.find_tenure() is None:
+        while not self._group.is_stopping and lease_.is_wanted:
+            if partition not in self._wanted_partitions and lease_.find_tenure() is None:
                 break
-            self._group.pause(held.try_hold(0) or _LOOK_SECONDS)
+            self._group.pause(lease_.try_hold(0) or _POLL_SECONDS)
         with self._lock:
-            self._rights.pop(partition, None)
+            self._leases.pop(partition, None)
--- a/libs/orders/oleander_orders/placement.py
+++ b/libs/orders/oleander_orders/placement.py
@@ -5,16 +5,16 @@
 
 from oleander_base import identifiers
 
-MOST_MODELS_EACH = 2
+MAX_MODELS_PER_SERVER = 2
 """Models that share a server at most."""
-_LEAST_SERVERS = 4
+_MIN_SERVERS_PER_MODEL = 4
 """Of a model; some skip a version, and so serve while the others load it."""
 
 
 def choose_placement(
     server_ids: collections.abc.Iterable[str],
     models: collections.abc.Iterable[str],
-    models_each: int = MOST_MODELS_EACH,
+    models_per_server: int = MAX_MODELS_PER_SERVER,
 ) -> dict[str, frozenset[str]]:
     """
     Return the servers of each model, shared out evenly; the same wherever the lists are the same.
@@ -26,22 +26,22 @@
     """
     servers = sorted(set(server_ids))
     ordered = sorted(set(models))
-    wanted = _count_servers(len(servers), len(ordered), models_each)
-    taken: collections.Counter[str] = collections.Counter()
+    wanted = _count_servers(len(servers), len(ordered), models_per_server)
+    assigned_counts: collections.Counter[str] = collections.Counter()
     placement = {}
     for model, count in zip(ordered, wanted, strict=True):
         ranked = _rank_servers(servers, model)
-        ranked.sort(key=lambda name: taken[name])
+        ranked.sort(key=lambda name: assigned_counts[name])
         placement[model] = frozenset(ranked[:count])
-        taken.update(placement[model])
+        assigned_counts.update(placement[model])
     return placement
 
 
-def _count_servers(servers: int, models: int, models_each: int) -> list[int]:
+def _count_servers(servers: int, models: int, models_per_server: int) -> list[int]:
     """Return how many servers each model gets; what is left over goes to the first ones."""
-    places = servers * models_each
+    places = servers * models_per_server
     return [
-        min(servers, max(_LEAST_SERVERS, places // models + (index < places % models)))
+        min(servers, max(_MIN_SERVERS_PER_MODEL, places // models + (index < places % models)))
         for index in range(models)
     ]
 
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -5,11 +5,11 @@
 
 from oleander_base import clock, identifiers
 from oleander_direct import directory, servers
-from oleander_orders import pace, placement
+from oleander_orders import load_capacity, placement
 
-_WAVE_PART = 3
+_WAVE_DIVISOR = 3
 """One server in so many loads a model at once, so that the others serve it meanwhile."""
-_LEAST_WAVE = 2
+_MIN_WAVE_SIZE = 2
 """The same where there are few servers."""
 _WAVE_SECONDS = 1.2
 """After this the next wave begins, also where the last is not seen to be done."""
@@ -17,13 +17,13 @@
 """A load seen to end by then fits a wave; ends are seen up to `_CHECK_SECONDS` late."""
 _FIRST_CHECK_SECONDS = 0.8
 """From an order to the first question whether the server has loaded."""
-_CHECK_SECONDS = 0.25
+_CHECK_INTERVAL_SECONDS = 0.25
 """Between further such questions; the list tells a heartbeat later."""
-_TAKEN_SECONDS = 4.0
+_ACCEPTED_TIMEOUT_SECONDS = 4.0
 """An accepted order whose version does not show for so long is given again."""
-_BUSY_SECONDS = 0.3
+_BUSY_RETRY_SECONDS = 0.3
 """A server that is loading is asked again after this."""
-_DOUBT_SECONDS = 2.0
+_UNCONFIRMED_RETRY_SECONDS = 2.0
 """An order without an answer, or a refused one, is given again after this time."""
 
 
@@ -41,22 +41,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingOrder:
     """An order that was given and does not show yet."""
 
     order: PlannedOrder
-    is_taken: bool
-    given_at: float
+    is_accepted: bool
+    ordered_at: float
     check_at: float
-    until: float
+    expires_at: float
 
 
-def count_at_once(count: int) -> int:
+def compute_wave_size(count: int) -> int:
     """Return how many of so many servers may load a model at once."""
-    return max(_LEAST_WAVE, count // _WAVE_PART)
+    return max(_MIN_WAVE_SIZE, count // _WAVE_DIVISOR)
 
 
-class OrderPlan:
+class OrderPlanner:
     """
     Remembers what was ordered; used by one thread.
 
@@ -71,19 +71,19 @@
     """
 
     def __init__(self) -> None:
-        self._pace = pace.LoadPace()
-        self._lags: dict[str, int] = {}
-        self._pending: dict[tuple[str, str], _Pending] = {}
-        self._accepted: dict[str, int] = {}
-        self._loaded: dict[tuple[str, str], int] = {}
+        self._capacity = load_capacity.LoadCapacity()
+        self._allowed_lags: dict[str, int] = {}
+        self._pending: dict[tuple[str, str], _PendingOrder] = {}
+        self._accepted_counts: dict[str, int] = {}
+        self._loaded_versions: dict[tuple[str, str], int] = {}
         self._placement: dict[str, frozenset[str]] = {}
-        self._placed_among: tuple[frozenset[str], frozenset[str], int] | None = None
+        self._placement_inputs: tuple[frozenset[str], frozenset[str], int] | None = None
         """The servers and models of the placement, and how many share a server."""
 
-    def choose(
+    def plan_orders(
         self,
         listed: list[servers.Server],
-        named: dict[str, directory.TargetVersion],
+        targets: dict[str, directory.TargetVersion],
         models: tuple[str, ...],
         may_order: collections.abc.Callable[[servers.Server], bool],
         find_limit: LoadLimit,
@@ -99,22 +99,24 @@
         all processes work out alike.
         """
         now = clock.read_now()
-        self._forget(listed, now)
-        for model, target in named.items():
-            self._pace.record_named(model, target.read_at)
-        self._update_placement(listed, frozenset(model for model in models if model in named))
+        self._remove_finished(listed, now)
+        for model, target in targets.items():
+            self._capacity.record_version(model, target.read_at)
+        self._update_placement(listed, frozenset(model for model in models if model in targets))
         limits = {
-            model: find_limit(listed, model, named[model].version)
+            model: find_limit(listed, model, targets[model].version)
             for model in models
-            if model in named
+            if model in targets
         }
         due = [
-            PlannedOrder(server, model, named[model].version)
+            PlannedOrder(server, model, targets[model].version)
             for model in models
-            if model in named
-            for server in self._list_due(listed, model, named[model], now)[: limits[model]]
+            if model in targets
+            for server in self._list_due(listed, model, targets[model], now)[: limits[model]]
         ]
-        due.sort(key=lambda item: (-self._find_lag(item), named[item.model].read_at, item.model))
+        due.sort(
+            key=lambda item: (-self._compute_lag(item), targets[item.model].read_at, item.model)
+        )
         busy = {incarnation for incarnation, _ in self._pending}
         planned: list[PlannedOrder] = []
         for order in due:
@@ -129,11 +131,11 @@
 
     def count_accepted(self, server: servers.Server, state: servers.EngineState) -> int:
         """Return how many orders a server has accepted by now."""
-        return max(state.accepted_orders, self._accepted.get(server.incarnation, 0))
+        return max(state.accepted_orders, self._accepted_counts.get(server.incarnation, 0))
 
     def defer(self, order: PlannedOrder) -> None:
         """Defer an order: its server could not be asked, or is loading."""
-        self._add_pending(order, False, _BUSY_SECONDS)
+        self._add_pending(order, False, _BUSY_RETRY_SECONDS)
 
     def record_outcome(
         self, order: PlannedOrder, accepted_orders: int, outcome: servers.OrderOutcome
@@ -141,19 +143,21 @@
         """Record what became of an order."""
         if isinstance(outcome, servers.OrderAccepted):
             if not outcome.is_done:
-                self._accepted[order.server.incarnation] = accepted_orders + 1
-            self._add_pending(order, True, _TAKEN_SECONDS)
+                self._accepted_counts[order.server.incarnation] = accepted_orders + 1
+            self._add_pending(order, True, _ACCEPTED_TIMEOUT_SECONDS)
             return
         if isinstance(outcome, servers.OrderRefused):
-            self._accepted.pop(order.server.incarnation, None)
-        self._add_pending(order, False, _DOUBT_SECONDS)
+            self._accepted_counts.pop(order.server.incarnation, None)
+        self._add_pending(order, False, _UNCONFIRMED_RETRY_SECONDS)
 
-    def list_unseen(self) -> list[PlannedOrder]:
+    def list_unconfirmed(self) -> list[PlannedOrder]:
         """Return taken orders whose servers should be asked now whether they have loaded."""
         now = clock.read_now()
-        due = [item for item in self._pending.values() if item.is_taken and item.check_at <= now]
+        due = [
+            item for item in self._pending.values() if item.is_accepted and item.check_at <= now
+        ]
         for item in due:
-            item.check_at = now + _CHECK_SECONDS
+            item.check_at = now + _CHECK_INTERVAL_SECONDS
         return [item.order for item in due]
 
     def record_state(self, order: PlannedOrder, state: servers.EngineState) -> bool:
@@ -162,20 +166,20 @@
         is_loaded = not state.is_loading and version >= order.version
         if is_loaded:
             key = (order.server.incarnation, order.model)
-            self._loaded[key] = version
+            self._loaded_versions[key] = version
             pending = self._pending.pop(key, None)
-            if pending is not None and pending.is_taken:
-                self._pace.record_load(clock.read_now() - pending.given_at)
+            if pending is not None and pending.is_accepted:
+                self._capacity.record_load(clock.read_now() - pending.ordered_at)
         return is_loaded
 
     @property
-    def may_overlap(self) -> bool:
+    def may_waves_overlap(self) -> bool:
         """Whether a wave may begin while the one before it still loads, as far as was seen."""
-        return not self._pace.fits_turn(_SHORT_LOAD_SECONDS)
+        return not self._capacity.fits_wave(_SHORT_LOAD_SECONDS)
 
-    def record_lag(self, model: str, lag: int) -> None:
+    def record_allowed_lag(self, model: str, lag: int) -> None:
         """Record how many versions behind the newest a trainer's steps allow."""
-        self._lags[model] = lag
+        self._allowed_lags[model] = lag
 
     def _list_due(
         self,
@@ -191,8 +195,8 @@
         skip every second version, those of odd and of even rank in turns, as long as its trainer
         allows what they have. So at each new version half of them go on at once.
         """
-        size = count_at_once(len(listed))
-        leaves_out = self._must_leave_out(len(listed))
+        size = compute_wave_size(len(listed))
+        skips_versions = self._must_skip_versions(len(listed))
         ranked = sorted(
             (
                 item
@@ -206,7 +210,7 @@
             server
             for rank, server in enumerate(ranked)
             if self._find_version(server, model) < target.version
-            and not (leaves_out and self._may_skip(server, rank, model, target.version))
+            and not (skips_versions and self._may_skip(server, rank, model, target.version))
         ]
         done = len(ranked) - len(missing)
         reached = max(waves, done // size + 1) * size
@@ -220,46 +224,50 @@
         Servers that load for all trainers would spend most of their time on it, and take no work
         meanwhile.
         """
-        if not self._must_leave_out(len(listed)):
-            self._placement, self._placed_among = {}, None
+        if not self._must_skip_versions(len(listed)):
+            self._placement, self._placement_inputs = {}, None
             return
-        models_each = self._pace.count_models_each(len(listed), count_at_once(len(listed)))
-        among = (frozenset(item.server_id for item in listed), models, models_each)
-        if among != self._placed_among:
-            self._placement, self._placed_among = placement.choose_placement(*among), among
+        models_per_server = self._capacity.choose_models_per_server(
+            len(listed), compute_wave_size(len(listed))
+        )
+        inputs = (frozenset(item.server_id for item in listed), models, models_per_server)
+        if inputs != self._placement_inputs:
+            self._placement, self._placement_inputs = placement.choose_placement(*inputs), inputs
 
-    def _must_leave_out(self, count: int) -> bool:
+    def _must_skip_versions(self, count: int) -> bool:
         """Return whether so many servers can't load every version."""
-        return self._pace.is_crowded(count, count_at_once(count))
+        return self._capacity.exceeds_capacity(count, compute_wave_size(count))
 
     def _may_skip(self, server: servers.Server, rank: int, model: str, version: int) -> bool:
-        is_allowed = self._find_version(server, model) >= version - self._lags.get(model, 0)
+        is_allowed = self._find_version(server, model) >= version - self._allowed_lags.get(
+            model, 0
+        )
         return is_allowed and (version + rank) % 2 == 1
 
-    def _find_lag(self, order: PlannedOrder) -> int:
+    def _compute_lag(self, order: PlannedOrder) -> int:
         return order.version - self._find_version(order.server, order.model)
 
     def _find_version(self, server: servers.Server, model: str) -> int:
         """Return the version that a server has, by the list or by its own word since."""
         listed = server.find_version(model) or 0
-        return max(listed, self._loaded.get((server.incarnation, model), 0))
+        return max(listed, self._loaded_versions.get((server.incarnation, model), 0))
 
-    def _add_pending(self, order: PlannedOrder, is_taken: bool, seconds: float) -> None:
+    def _add_pending(self, order: PlannedOrder, is_accepted: bool, seconds: float) -> None:
         now = clock.read_now()
         key = (order.server.incarnation, order.model)
-        self._pending[key] = _Pending(
-            order, is_taken, now, now + _FIRST_CHECK_SECONDS, now + seconds
+        self._pending[key] = _PendingOrder(
+            order, is_accepted, now, now + _FIRST_CHECK_SECONDS, now + seconds
         )
 
-    def _forget(self, listed: list[servers.Server], now: float) -> None:
+    def _remove_finished(self, listed: list[servers.Server], now: float) -> None:
         """Forget what shows in the list, what is overdue, and servers that are gone."""
         known = {server.incarnation: server for server in listed}
         for key, pending in list(self._pending.items()):
             server = known.get(key[0])
             shown = self._find_version(server, key[1]) if server else 0
-            if server is None or pending.until < now or shown >= pending.order.version:
+            if server is None or pending.expires_at < now or shown >= pending.order.version:
                 del self._pending[key]
-        for incarnation in [item for item in self._accepted if item not in known]:
-            del self._accepted[incarnation]
-        for key in [item for item in self._loaded if item[0] not in known]:
-            del self._loaded[key]
+        for incarnation in [item for item in self._accepted_counts if item not in known]:
+            del self._accepted_counts[incarnation]
+        for key in [item for item in self._loaded_versions if item[0] not in known]:
+            del self._loaded_versions[key]
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -10,7 +10,7 @@
 from oleander_direct import calls, crash_guard, directory, fair_share, servers
 from oleander_duties import platform, usage
 from oleander_leases import lease
-from oleander_orders import load_guard, rights
+from oleander_orders import load_guard, order_leases
 from oleander_platform import keyed_follower, recordlog
 from oleander_quarantine import ledger
 from oleander_routing import preferred, router
@@ -169,7 +169,7 @@
             MOST_ITEMS,
             guard,
         )
-        held = rights.OrderRights(
+        held = order_leases.OrderLeases(
             log_service,
             chosen.host,
             chosen.order_gap_seconds,
--- a/programs/oleanderdeal/oleanderdeal/version_keeper.py
+++ b/programs/oleanderdeal/oleanderdeal/version_keeper.py
@@ -6,7 +6,7 @@
 from oleander_batches import journal
 from oleander_direct import directory, servers
 from oleander_leases import lease
-from oleander_orders import load_guard, load_throttle, plan, rights
+from oleander_orders import load_guard, load_throttle, order_leases, plan
 from oleanderdeal import ownership
 
 _ORDER_SECONDS = 0.8
@@ -27,7 +27,7 @@
     def __init__(
         self,
         known: directory.Directory,
-        held: rights.OrderRights,
+        held: order_leases.OrderLeases,
         owned: ownership.Ownership,
         kept: journal.BatchJournal,
         caller: servers.ServerCaller,
@@ -41,7 +41,7 @@
         self._caller = caller
         self._group = group
         self._loads = loads
-        self._plan = plan.OrderPlan()
+        self._plan = plan.OrderPlanner()
         self._throttle = load_throttle.LoadThrottle(
             identifiers.hash_text(identifiers.create_nonce())
         )
@@ -53,7 +53,7 @@
         while not self._group.is_stopping and self._is_wanted:
             self.order_due()
             self._group.pause(_PAUSE_SECONDS)
-        self._rights.release()
+        self._rights.release_all()
 
     def leave(self) -> None:
         """Give no more orders and release the rights."""
@@ -67,20 +67,20 @@
         engines = [backend for backend in table.backends if backend.models]
         listed = {item.name: self._directory.list_servers(item.name) for item in engines}
         every = [server for found in listed.values() for server in found]
-        self._throttle.forget_gone(every)
-        self._rights.want([server.server_id for server in every], self._owned.partitions)
-        metrics.record_gauge(metrics.ORDERS_HELD, self._rights.held)
+        self._throttle.remove_lost_servers(every)
+        self._rights.update_wanted([server.server_id for server in every], self._owned.partitions)
+        metrics.record_gauge(metrics.ORDERS_HELD, self._rights.held_count)
         for batch in self._journal.index.list_open():
             if batch.allowed_lag is not None:
-                self._plan.record_lag(batch.accepted.model, batch.allowed_lag)
+                self._plan.record_allowed_lag(batch.accepted.model, batch.allowed_lag)
         self._check_taken()
         self._loading.clear()
         named = self._directory.list_target_versions()
         for backend in engines:
             keeps_requests_running = not table.requires_single_version(backend.name)
             servers_of = listed[backend.name]
-            for order in self._plan.choose(
-                servers_of, named, backend.models, self._may_order, self._loads.find_limit
+            for order in self._plan.plan_orders(
+                servers_of, named, backend.models, self._may_order, self._loads.find_server_limit
             ):
                 self._give(order, servers_of, keeps_requests_running)
 
@@ -88,7 +88,7 @@
         return self._find_tenure(server) is not None
 
     def _find_tenure(self, server: servers.Server) -> lease.Tenure | None:
-        held = self._rights.find_right(server.server_id)
+        held = self._rights.find_lease(server.server_id)
         tenure = held.find_tenure() if held is not None else None
         if tenure is None or tenure.deadline.remaining < _LEAST_TENURE_SECONDS:
             return None
@@ -96,7 +96,7 @@
 
     def _check_taken(self) -> None:
         """Ask servers whether they have loaded; the list would tell a heartbeat later."""
-        for order in self._plan.list_unseen():
+        for order in self._plan.list_unconfirmed():
             state = self._read_state(order.server)
             if state.is_ok():
                 self._record_state(order, state.ok)
@@ -145,11 +145,11 @@
         Nobody is asked where loads are seen to end within their wave: each question may open a
         connection.
         """
-        if not self._plan.may_overlap:
+        if not self._plan.may_waves_overlap:
             return False
         placed = [server for server in listed if self._plan.is_placed(server, order.model)]
-        most_loading = plan.count_at_once(len(listed))
-        return self._throttle.must_wait(order, placed, most_loading, self._is_loading)
+        most_loading = plan.compute_wave_size(len(listed))
+        return self._throttle.must_defer(order, placed, most_loading, self._is_loading)
 
     def _send(self, order: plan.PlannedOrder, accepted: int, keeps_requests_running: bool) -> None:
         """
@@ -159,7 +159,7 @@
         does: a process that was suspended in between finds that it has passed.
         """
         tenure = self._find_tenure(order.server)
-        held = self._rights.find_right(order.server.server_id)
+        held = self._rights.find_lease(order.server.server_id)
         if tenure is None or held is None:
             return
         sent = servers.VersionOrder(
@@ -171,7 +171,7 @@
             accepted_orders=accepted,
         )
         deadline = tenure.deadline.earlier(_ORDER_SECONDS)
-        self._loads.begin(order.server, order.model, order.version)
+        self._loads.register_load(order.server, order.model, order.version)
         outcome = self._caller.order(order.server, sent, deadline)
         if isinstance(outcome, servers.OrderRefused):
             self._loads.record_refused(order.server)
