--- a/libs/orders/oleander_orders/__init__.py
+++ b/libs/orders/oleander_orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers: who may give them, and which to give."""
+"""Orders to backend servers to load weights: planning, leases and crash protection."""
 
 from oleander_orders import load_capacity, load_guard, load_throttle, order_leases, placement, plan
 
--- a/libs/orders/oleander_orders/load_capacity.py
+++ b/libs/orders/oleander_orders/load_capacity.py
@@ -1,26 +1,30 @@
-"""Whether every server can load every version, measured from names and loads as they come."""
+"""Estimates whether servers can load every published version, from measured rates and times."""
 
 from oleander_base import clock
 from oleander_orders import placement
 
 _AVERAGE_WEIGHT = 0.3
-"""Of the newest value in a moving average."""
+"""The weight of the newest value in exponential moving averages."""
 _DEFAULT_LOAD_SECONDS = 1.0
-"""Used until the first load was seen, and not averaged with it."""
+"""The load time assumed until one is measured; it does not enter the average."""
 _MAX_UTILIZATION = 0.8
-"""The part of the weight store's pace that loads may need before some are left out."""
+"""The fraction of the loading capacity that may be needed before servers skip versions."""
 _SINGLE_MODEL_RATIO = 1.25
-"""With time for the loads of fewer models a server is left to one model."""
+"""
+Below this ratio of possible to wanted loads, each server is assigned to a single model.
+
+The ratio is computed for one model per server, every second version of which is skipped.
+"""
 _SHARED_RATIO = 1.8
-"""With time for the loads of more models it is shared again; in between nothing changes."""
+"""Above this ratio models share servers again; in between nothing changes (hysteresis)."""
 
 
 class LoadCapacity:
     """
-    Compares the loads that are wanted with those that can run; used by one thread.
+    Compares the rate of wanted loads with the rate of possible loads; not thread-safe.
 
-    A weight store slows down when more than a few servers load at once. Where more loads are
-    wanted than can run, servers lag, and steps wait for one that is new enough.
+    A weight store slows down when more than a few servers load at once. If more loads are wanted
+    than can run, servers lag behind, and training steps wait for one with recent enough weights.
     """
 
     def __init__(self) -> None:
@@ -30,7 +34,7 @@
         self._models_per_server = placement.MAX_MODELS_PER_SERVER
 
     def record_version(self, model: str, published_at: float) -> None:
-        """Record when a version of a model was named; repeated calls change nothing."""
+        """Record when a model's newest version was published; repeated calls change nothing."""
         before = self._published_at.get(model)
         if before == published_at:
             return
@@ -41,25 +45,25 @@
             self._intervals[model] = known + _AVERAGE_WEIGHT * (interval - known)
 
     def record_load(self, seconds: float) -> None:
-        """Record how long a load took."""
+        """Record the duration of a load."""
         known = seconds if self._load_seconds is None else self._load_seconds
         self._load_seconds = known + _AVERAGE_WEIGHT * (seconds - known)
 
     def fits_wave(self, wave_seconds: float) -> bool:
-        """Return whether loads are known to end within a turn."""
+        """Return whether the measured load time fits into a wave; False before the first load."""
         return self._load_seconds is not None and self._load_seconds <= wave_seconds
 
     def exceeds_capacity(self, servers: int, max_loading: int) -> bool:
-        """Return whether so many servers can't load each version, so many of them at once."""
+        """Return whether servers can't load every version with `max_loading` loads at once."""
         wanted = servers * self._compute_version_rate() * self._typical_load_seconds
         return wanted > _MAX_UTILIZATION * max_loading
 
     def choose_models_per_server(self, servers: int, max_loading: int) -> int:
         """
-        Return how many models may share a server that leaves out every second version of each.
+        Return how many models may share a server if it skips every second version of each.
 
-        Where loads take longer than that allows, servers lag behind all their models, and steps
-        wait for one that is new enough.
+        If loads take longer than sharing allows, servers lag behind with all their models, and
+        training steps wait for one with recent enough weights.
         """
         models = max(1, len(self._intervals))
         loads = servers / models * self._compute_version_rate() / 2
@@ -75,7 +79,7 @@
         return _DEFAULT_LOAD_SECONDS if self._load_seconds is None else self._load_seconds
 
     def _compute_version_rate(self) -> float:
-        """Return how many versions of all models are named a second."""
+        """Return how many versions of all models are published per second."""
         now = clock.read_now()
         return sum(
             1.0 / max(interval, now - self._published_at[model])
--- a/libs/orders/oleander_orders/load_guard.py
+++ b/libs/orders/oleander_orders/load_guard.py
@@ -1,4 +1,4 @@
-"""Keeps weights from backend servers once servers ended while they loaded them."""
+"""Quarantine of weight versions that crash the backend servers loading them."""
 
 import collections.abc
 import dataclasses
@@ -9,25 +9,29 @@
 from oleander_quarantine import ledger, records
 
 _ATTRIBUTION_SECONDS = 8.0
-"""A lost server leaves the list within a few heartbeats, or is replaced at its address."""
+"""
+How long after an order the loss of a server is attributed to the load.
+
+A lost server leaves the list, or is replaced at its address, within a few heartbeats.
+"""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _OrderedLoad:
-    """The newest load that a server was ordered and is not known to have done."""
+    """The last load that was ordered from a server and is not known to be complete."""
 
     model: str
     version: int
     expires_at: float
-    """After this the loss of its server is not attributed to it."""
+    """Monotonic seconds after which the loss of the server is not attributed to the load."""
 
 
 class LoadGuard:
     """
-    Feeds loads of weights into the crash ledger; thread-safe.
+    Records in the crash ledger which servers were lost while loading weights; thread-safe.
 
-    Weights that recur in crashes are in quarantine until some server runs them. After it a single
-    server may load them.
+    Weights that caused repeated crashes are quarantined. After the quarantine one server at a
+    time may load them, until one has done so.
     """
 
     def __init__(
@@ -47,7 +51,7 @@
     def find_server_limit(
         self, listed: list[servers.Server], model: str, version: int
     ) -> int | None:
-        """Return how many servers may load a version now; nothing for any number."""
+        """Return how many servers may load a version now, or None if there is no limit."""
         fingerprint = _compute_fingerprint(model, version)
         if not self._ledger.is_recurrent(fingerprint):
             return None
@@ -59,7 +63,7 @@
             return 1
         log.warn_bounded(
             "load-quarantined",
-            "servers ended while they loaded it",
+            "quarantined, since servers ended while loading it",
             model=model,
             version=version,
             quarantine_s=int(quarantine.remaining),
@@ -67,7 +71,7 @@
         return 0
 
     def register_load(self, server: servers.Server, model: str, version: int) -> None:
-        """Register a load before it is ordered."""
+        """Register a load; must be called before it is ordered."""
         now = self._read_now()
         with self._lock:
             for incarnation in [
@@ -79,12 +83,12 @@
             )
 
     def record_refused(self, server: servers.Server) -> None:
-        """Record that a server does not carry out its order."""
+        """Record that a server refused its order and so loads nothing."""
         with self._lock:
             self._loads.pop(server.incarnation, None)
 
     def record_loaded(self, server: servers.Server, model: str, version: int) -> None:
-        """Record that a server runs a version."""
+        """Record that a server has loaded a version, which clears the version's crashes."""
         with self._lock:
             self._loads.pop(server.incarnation, None)
         dropped = self._ledger.record_answer(_compute_fingerprint(model, version))
@@ -93,10 +97,10 @@
         self._publisher.withdraw(dropped)
         log.logger.bind(
             event="load-crash-cleared", model=model, version=version, crashes=len(dropped)
-        ).info("a server loaded it")
+        ).info("crashes cleared, since a server loaded the version")
 
     def record_loss(self, server: servers.Server) -> None:
-        """Record the loss of a server that had not announced that it leaves."""
+        """Record a crash if an unannounced loss of a server ended a load."""
         with self._lock:
             load = self._loads.pop(server.incarnation, None)
         if load is None or load.expires_at < self._read_now():
@@ -119,7 +123,7 @@
             version=load.version,
             server=server.incarnation,
             quarantine_s=int(quarantine.remaining) if quarantine else 0,
-        ).info("a server ended while it loaded weights")
+        ).info("a server ended while loading weights")
 
 
 def _compute_fingerprint(model: str, version: int) -> str:
--- a/libs/orders/oleander_orders/load_throttle.py
+++ b/libs/orders/oleander_orders/load_throttle.py
@@ -1,4 +1,4 @@
-"""Whether one more server may load weights now, by what the others say of themselves."""
+"""A limit on how many servers load weights at once, based on the servers' own reports."""
 
 import collections.abc
 import random
@@ -8,19 +8,23 @@
 from oleander_orders import plan
 
 _MAX_ASKED_SERVERS = 12
-"""Servers that are asked before an order; in a large fleet they are a sample of the others."""
+"""How many servers are asked before an order; in a larger fleet they are a random sample."""
 _MAX_WAIT_SECONDS = 8.0
-"""After this an order is given all the same: servers that say for ever that they load must not
-keep the others from new weights."""
+"""
+How long an order may be deferred before it is given anyway.
+
+Servers that report for ever that they are loading must not keep the others from new weights.
+"""
 
 
 class LoadThrottle:
     """
-    Keeps servers from loading weights all at once; used by one thread.
+    Keeps servers from all loading weights at once; not thread-safe.
 
-    Processes with rights to different servers order them in turns, by the time since a version was
-    named. Turns that are shorter than a load overlap, until all servers load at once and none
-    takes work. How long a load takes is not known beforehand, so the servers are asked.
+    Processes that hold the leases of different servers order them in waves, by the time since a
+    version was published. Waves that are shorter than a load overlap, until all servers load at
+    once and none serves requests. The duration of a load is not known in advance, so the servers
+    are asked whether they are loading.
     """
 
     def __init__(self, seed: int) -> None:
@@ -34,7 +38,7 @@
         max_loading: int,
         is_loading: collections.abc.Callable[[servers.Server], bool],
     ) -> bool:
-        """Ask some of the model's servers that do not show the version yet; too many may load."""
+        """Return whether too many are loading among the model's servers without the version."""
         outdated = _list_outdated(order, placed)
         asked = self._random.sample(outdated, min(_MAX_ASKED_SERVERS, len(outdated)))
         loading = sum(map(is_loading, asked))
@@ -45,7 +49,7 @@
         return not self._has_waited_long(order, loading, len(asked))
 
     def remove_lost_servers(self, listed: collections.abc.Iterable[servers.Server]) -> None:
-        """Forget servers that are gone."""
+        """Remove the state of servers that are no longer listed."""
         known = {server.incarnation for server in listed}
         for key in [item for item in self._waiting_since if item[0] not in known]:
             del self._waiting_since[key]
@@ -62,7 +66,7 @@
                 version=order.version,
                 loading=loading,
                 asked=asked,
-            ).info("too many servers load")
+            ).info("deferred, since too many servers are loading")
         if now - self._waiting_since[key] < _MAX_WAIT_SECONDS:
             return False
         del self._waiting_since[key]
@@ -74,7 +78,7 @@
 
 
 def _list_outdated(order: plan.PlannedOrder, listed: list[servers.Server]) -> list[servers.Server]:
-    """Return the other servers that have the model, but not the version yet."""
+    """Return the other servers that have an older version of the order's model."""
     return [
         other
         for other in listed
--- a/libs/orders/oleander_orders/order_leases.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -1,4 +1,4 @@
-"""The rights to order all backend servers, spread over the processes."""
+"""Leases that give processes the exclusive right to order backend servers."""
 
 import collections.abc
 import threading
@@ -9,18 +9,19 @@
 
 TOPIC = "oleander.orders"
 _POLL_SECONDS = 0.5
-"""Between looks for free rights."""
+"""The interval between attempts to acquire a lease that another process holds."""
 
 
 class OrderLeases:
     """
-    One right for each partition that has servers; safe to use from several threads.
+    Holds one lease for each assigned partition that has servers; thread-safe.
 
-    With a single right for all servers, the loss of its holder would leave every server without
-    new weights for the term and the gap. Spread, a loss concerns the servers of one holder.
+    With a single lease for all servers, the loss of its holder would leave every server without
+    new weights until the lease's term and the gap after it have passed. With a lease for each
+    partition, the loss affects only the servers of the partitions that the holder had.
 
-    The platform's dealing of partitions says who should claim which; it may change at any time,
-    so a holder keeps what it holds as long as it lives.
+    The platform assigns partitions to processes to say which should claim which lease. The
+    assignment may change at any time, so a holder keeps its leases for as long as it lives.
     """
 
     def __init__(
@@ -42,19 +43,19 @@
 
     @property
     def held_count(self) -> int:
-        """How many rights this process holds."""
+        """The number of leases that this process holds."""
         with self._lock:
             leases = list(self._leases.values())
         return sum(1 for item in leases if item.find_tenure() is not None)
 
     def find_partition(self, server_id: str) -> int:
-        """Return the partition that a server's right belongs to."""
+        """Return the partition that a server belongs to."""
         return identifiers.hash_text(server_id) % self._partitions
 
     def update_wanted(
         self, server_ids: collections.abc.Iterable[str], assigned_partitions: frozenset[int]
     ) -> None:
-        """Claim the rights to these servers in the partitions dealt to this process."""
+        """Start to claim the leases for servers in the partitions assigned to this process."""
         wanted = frozenset(self.find_partition(item) for item in server_ids) & assigned_partitions
         if wanted != self._wanted_partitions:
             log.logger.bind(event="orders-wanted", partitions=sorted(wanted)).info("to claim")
@@ -63,12 +64,12 @@
             self._start_holding(partition)
 
     def find_lease(self, server_id: str) -> lease.FencedLease | None:
-        """Return the right to order a server, where this process watches or holds it."""
+        """Return the lease for a server if this process holds it or tries to, else None."""
         with self._lock:
             return self._leases.get(self.find_partition(server_id))
 
     def release_all(self) -> None:
-        """Give all rights up, once no order is on its way."""
+        """Release all leases; must be called only when no order is in flight."""
         with self._lock:
             leases = list(self._leases.values())
         for item in leases:
@@ -83,7 +84,7 @@
         self._group.keep(lambda: self._hold(partition, lease_))
 
     def _hold(self, partition: int, lease_: lease.FencedLease) -> None:
-        """Hold a right while it is wanted, and for as long as it is held."""
+        """Claim and renew a lease until it is neither wanted nor held."""
         while not self._group.is_stopping and lease_.is_wanted:
             if partition not in self._wanted_partitions and lease_.find_tenure() is None:
                 break
--- a/libs/orders/oleander_orders/placement.py
+++ b/libs/orders/oleander_orders/placement.py
@@ -1,4 +1,4 @@
-"""Which servers load which model where not every server can load them all."""
+"""The assignment of models to servers when not every server can load every model."""
 
 import collections
 import collections.abc
@@ -6,9 +6,13 @@
 from oleander_base import identifiers
 
 MAX_MODELS_PER_SERVER = 2
-"""Models that share a server at most."""
+"""The largest number of models that share a server, unless there are few servers."""
 _MIN_SERVERS_PER_MODEL = 4
-"""Of a model; some skip a version, and so serve while the others load it."""
+"""
+The servers that each model gets at least, if there are as many.
+
+Some of them skip each version, and so can serve requests while the others load it.
+"""
 
 
 def choose_placement(
@@ -17,12 +21,14 @@
     models_per_server: int = MAX_MODELS_PER_SERVER,
 ) -> dict[str, frozenset[str]]:
     """
-    Return the servers of each model, shared out evenly; the same wherever the lists are the same.
+    Return the ids of the servers of each model, evenly distributed.
 
-    So many models share a server, more where there are fewer servers than each model needs.
+    The result is the same in every process that knows the same servers and models. Up to
+    `models_per_server` models share a server; more do if there are fewer servers than the models
+    need.
 
-    Each model takes those that fewest have taken before it, by a rank of its own, so that not many
-    change their models when a server comes or goes.
+    Each model takes the servers with the fewest models so far, in an order that is hashed from
+    the model's name, so that few servers change their models when one joins or leaves.
     """
     servers = sorted(set(server_ids))
     ordered = sorted(set(models))
@@ -38,7 +44,7 @@
 
 
 def _count_servers(servers: int, models: int, models_per_server: int) -> list[int]:
-    """Return how many servers each model gets; what is left over goes to the first ones."""
+    """Return how many servers each model gets; the remainder goes to the first models."""
     places = servers * models_per_server
     return [
         min(servers, max(_MIN_SERVERS_PER_MODEL, places // models + (index < places % models)))
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -1,4 +1,4 @@
-"""Which backend servers to order to load which weights, and when."""
+"""The plan of which backend servers to order to load which weights, and when."""
 
 import collections.abc
 import dataclasses
@@ -8,32 +8,32 @@
 from oleander_orders import load_capacity, placement
 
 _WAVE_DIVISOR = 3
-"""One server in so many loads a model at once, so that the others serve it meanwhile."""
+"""One server in this many loads a model at a time, so that the others can serve it meanwhile."""
 _MIN_WAVE_SIZE = 2
-"""The same where there are few servers."""
+"""The smallest number of servers that load a model at a time, for small backends."""
 _WAVE_SECONDS = 1.2
-"""After this the next wave begins, also where the last is not seen to be done."""
+"""The time after which the next wave starts even if the last one is not known to be done."""
 _SHORT_LOAD_SECONDS = 1.5
 """A load seen to end by then fits a wave; ends are seen up to `_CHECK_SECONDS` late."""
 _FIRST_CHECK_SECONDS = 0.8
-"""From an order to the first question whether the server has loaded."""
+"""The time from an order to the first check whether the server has loaded."""
 _CHECK_INTERVAL_SECONDS = 0.25
-"""Between further such questions; the list tells a heartbeat later."""
+"""The interval between further checks; the server list would show the load a heartbeat later."""
 _ACCEPTED_TIMEOUT_SECONDS = 4.0
-"""An accepted order whose version does not show for so long is given again."""
+"""The time after which an accepted order is repeated if its version has not appeared."""
 _BUSY_RETRY_SECONDS = 0.3
-"""A server that is loading is asked again after this."""
+"""The time after which a server that was loading or unreachable is asked again."""
 _UNCONFIRMED_RETRY_SECONDS = 2.0
-"""An order without an answer, or a refused one, is given again after this time."""
+"""The time after which an order that was refused or not answered is repeated."""
 
 
 LoadLimit = collections.abc.Callable[[list[servers.Server], str, int], int | None]
-"""Returns how many of the listed servers may load a version of a model; nothing for any number."""
+"""Returns how many of the listed servers may load a model's version, or None for no limit."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PlannedOrder:
-    """A server that is to load a version."""
+    """An order to a server to load a version of a model."""
 
     server: servers.Server
     model: str
@@ -42,32 +42,34 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingOrder:
-    """An order that was given and does not show yet."""
+    """An order that was given or deferred, and whose version is not known to be loaded."""
 
     order: PlannedOrder
     is_accepted: bool
     ordered_at: float
     check_at: float
+    """When to ask the server next whether it has loaded, in monotonic seconds."""
     expires_at: float
+    """When the order may be given again, in monotonic seconds."""
 
 
 def compute_wave_size(count: int) -> int:
-    """Return how many of so many servers may load a model at once."""
+    """Return how many servers of a backend with `count` servers may load a model at once."""
     return max(_MIN_WAVE_SIZE, count // _WAVE_DIVISOR)
 
 
 class OrderPlanner:
     """
-    Remembers what was ordered; used by one thread.
+    Plans orders and tracks those that are pending; not thread-safe.
 
-    Servers load in waves, in an order that all processes work out alike from the list, so that
-    those with rights to different servers leave enough of them to serve without a word between
-    them.
+    Servers load in waves. Every process computes the same sequence of servers from the list, so
+    processes that hold the leases of different servers leave enough of them serving without
+    communicating.
 
-    An order names how many the server has accepted before. So of an order without an answer and
-    the same one given again, at most one has effect, also when the first is carried out late.
-    The number comes from the server itself; since its report lags, the orders that it has taken
-    from here count too.
+    An order states how many orders the server has accepted before. So if an order that was not
+    answered is repeated, at most one of the two takes effect, even if the first arrives late. The
+    number comes from the server's own report. The report may be out of date, so orders of this
+    process that the server has accepted since are counted too.
     """
 
     def __init__(self) -> None:
@@ -78,7 +80,7 @@
         self._loaded_versions: dict[tuple[str, str], int] = {}
         self._placement: dict[str, frozenset[str]] = {}
         self._placement_inputs: tuple[frozenset[str], frozenset[str], int] | None = None
-        """The servers and models of the placement, and how many share a server."""
+        """The server ids, models and models per server that the placement was computed from."""
 
     def plan_orders(
         self,
@@ -89,14 +91,15 @@
         find_limit: LoadLimit,
     ) -> list[PlannedOrder]:
         """
-        Return the orders to give now to the servers of one backend, one for each server.
+        Return the orders to give now to the servers of one backend, at most one for each server.
 
-        A server goes first to the model that is furthest behind there, then to the one named
-        first. In a fixed order the last model would never have its turn where versions come
-        about as fast as they load, and its trainer would run out of servers.
+        A server loads the model first that is the most versions behind there, and among equals
+        the one whose version was published first. In a fixed order, the last model would never be
+        loaded if versions are published about as fast as they load, and its trainer would run out
+        of servers.
 
-        Where only some servers may load a version, these are the first ones that are due, which
-        all processes work out alike.
+        If only a limited number of servers may load a version, they are the first ones due, which
+        every process computes alike.
         """
         now = clock.read_now()
         self._remove_finished(listed, now)
@@ -126,21 +129,21 @@
         return planned
 
     def is_placed(self, server: servers.Server, model: str) -> bool:
-        """Return whether a server is to load a model, as of the last orders that were chosen."""
+        """Return whether a model is placed on a server, as of the last call of `plan_orders`."""
         return model not in self._placement or server.server_id in self._placement[model]
 
     def count_accepted(self, server: servers.Server, state: servers.EngineState) -> int:
-        """Return how many orders a server has accepted by now."""
+        """Return how many orders a server is known to have accepted."""
         return max(state.accepted_orders, self._accepted_counts.get(server.incarnation, 0))
 
     def defer(self, order: PlannedOrder) -> None:
-        """Defer an order: its server could not be asked, or is loading."""
+        """Defer an order whose server could not be asked, or when too many servers are loading."""
         self._add_pending(order, False, _BUSY_RETRY_SECONDS)
 
     def record_outcome(
         self, order: PlannedOrder, accepted_orders: int, outcome: servers.OrderOutcome
     ) -> None:
-        """Record what became of an order."""
+        """Record the outcome of sending an order."""
         if isinstance(outcome, servers.OrderAccepted):
             if not outcome.is_done:
                 self._accepted_counts[order.server.incarnation] = accepted_orders + 1
@@ -151,7 +154,7 @@
         self._add_pending(order, False, _UNCONFIRMED_RETRY_SECONDS)
 
     def list_unconfirmed(self) -> list[PlannedOrder]:
-        """Return taken orders whose servers should be asked now whether they have loaded."""
+        """Return accepted orders whose servers should be asked now whether they have loaded."""
         now = clock.read_now()
         due = [
             item for item in self._pending.values() if item.is_accepted and item.check_at <= now
@@ -161,7 +164,7 @@
         return [item.order for item in due]
 
     def record_state(self, order: PlannedOrder, state: servers.EngineState) -> bool:
-        """Record what a server says of itself after an order; return whether it has loaded."""
+        """Record a server's own state after an order; return whether it has loaded the version."""
         version = state.find_version(order.model) or 0
         is_loaded = not state.is_loading and version >= order.version
         if is_loaded:
@@ -174,11 +177,11 @@
 
     @property
     def may_waves_overlap(self) -> bool:
-        """Whether a wave may begin while the one before it still loads, as far as was seen."""
+        """Whether, by the measured load times, a wave may start while the last still loads."""
         return not self._capacity.fits_wave(_SHORT_LOAD_SECONDS)
 
     def record_allowed_lag(self, model: str, lag: int) -> None:
-        """Record how many versions behind the newest a trainer's steps allow."""
+        """Record how many versions a server may be behind the newest to serve a model's trainer."""
         self._allowed_lags[model] = lag
 
     def _list_due(
@@ -189,11 +192,12 @@
         now: float,
     ) -> list[servers.Server]:
         """
-        Return the servers that should load the target now, in the waves' order.
+        Return the servers that should load the target now, in the order of the waves.
 
-        Where not every server can load every version, each model has a placement, and its servers
-        skip every second version, those of odd and of even rank in turns, as long as its trainer
-        allows what they have. So at each new version half of them go on at once.
+        If not every server can load every version, each model is placed on some servers only.
+        Those skip every second version as long as the trainer still accepts the one they have:
+        servers of odd and of even rank skip alternately. So when a version is published, half of
+        the servers can go on serving without loading it.
         """
         size = compute_wave_size(len(listed))
         skips_versions = self._must_skip_versions(len(listed))
@@ -219,10 +223,10 @@
 
     def _update_placement(self, listed: list[servers.Server], models: frozenset[str]) -> None:
         """
-        Choose the servers of each model, unless all load every version.
+        Update the assignment of models to servers; there is none if all can load every version.
 
-        Servers that load for all trainers would spend most of their time on it, and take no work
-        meanwhile.
+        Otherwise servers that load for all trainers would spend most of their time loading, when
+        they serve no requests.
         """
         if not self._must_skip_versions(len(listed)):
             self._placement, self._placement_inputs = {}, None
@@ -235,7 +239,7 @@
             self._placement, self._placement_inputs = placement.choose_placement(*inputs), inputs
 
     def _must_skip_versions(self, count: int) -> bool:
-        """Return whether so many servers can't load every version."""
+        """Return whether a backend with `count` servers can't load every version on each."""
         return self._capacity.exceeds_capacity(count, compute_wave_size(count))
 
     def _may_skip(self, server: servers.Server, rank: int, model: str, version: int) -> bool:
@@ -248,7 +252,7 @@
         return order.version - self._find_version(order.server, order.model)
 
     def _find_version(self, server: servers.Server, model: str) -> int:
-        """Return the version that a server has, by the list or by its own word since."""
+        """Return the version that a server has by the list or by its own later report."""
         listed = server.find_version(model) or 0
         return max(listed, self._loaded_versions.get((server.incarnation, model), 0))
 
@@ -260,7 +264,7 @@
         )
 
     def _remove_finished(self, listed: list[servers.Server], now: float) -> None:
-        """Forget what shows in the list, what is overdue, and servers that are gone."""
+        """Drop orders that are done or overdue, and the state of servers that are gone."""
         known = {server.incarnation: server for server in listed}
         for key, pending in list(self._pending.items()):
             server = known.get(key[0])
