--- a/libs/orders/oleander_orders/load_capacity.py
+++ b/libs/orders/oleander_orders/load_capacity.py
@@ -6,7 +6,7 @@
 _AVERAGE_WEIGHT = 0.3
 """The weight of the newest value in exponential moving averages."""
 _DEFAULT_LOAD_SECONDS = 1.0
-"""The load time assumed until one is measured; it does not enter the average."""
+"""The load time assumed until the first load ends; it does not enter the average."""
 _MAX_UTILIZATION = 0.8
 """The fraction of the loading capacity that may be needed before servers skip versions."""
 _SINGLE_MODEL_RATIO = 1.25
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -14,7 +14,11 @@
 _WAVE_SECONDS = 1.2
 """The time after which the next wave starts even if the last one is not known to be done."""
 _SHORT_LOAD_SECONDS = 1.5
-"""A load seen to end by then fits a wave; ends are seen up to `_CHECK_SECONDS` late."""
+"""
+The longest recorded load time that counts as fitting into a wave.
+
+It exceeds a wave, since the end of a load is noticed up to `_CHECK_INTERVAL_SECONDS` late.
+"""
 _FIRST_CHECK_SECONDS = 0.8
 """The time from an order to the first check whether the server has loaded."""
 _CHECK_INTERVAL_SECONDS = 0.25
@@ -181,7 +185,7 @@
         return not self._capacity.fits_wave(_SHORT_LOAD_SECONDS)
 
     def record_allowed_lag(self, model: str, lag: int) -> None:
-        """Record how many versions a server may be behind the newest to serve a model's trainer."""
+        """Record how many versions behind the newest a model's trainer accepts."""
         self._allowed_lags[model] = lag
 
     def _list_due(
