--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -34,13 +34,13 @@
 def name_versions(context, versions):
     context.loads = collections.Counter()
     context.usable = []
-    planner = context.planner = plan.OrderPlan()
+    planner = context.planner = plan.OrderPlanner()
     now = [1000.0]
     with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
         for model in "abc":
-            planner.record_lag(model, context.lag)
+            planner.record_allowed_lag(model, context.lag)
         for version in range(2, versions + 2):
-            named = {model: directory.NamedVersion(version, now[0]) for model in "abc"}
+            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
             context.named = named
             has = [context.versions[key] for key in context.versions if key[1] == "a"]
             context.usable.append(sum(item >= version - context.lag for item in has))
@@ -72,7 +72,7 @@
 
 
 def _load_planned(context, named):
-    orders = context.planner.choose(
+    orders = context.planner.plan_orders(
         _list_engines(context),
         named,
         tuple("abc"),
@@ -80,7 +80,7 @@
         keeper_fakes.any_number,
     )
     for order in orders:
-        context.planner.record_outcome(order, 0, servers.OrderTaken(is_done=False))
+        context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
     return orders
 
 
@@ -93,27 +93,27 @@
     "each of {count:d} further versions of model a that ended servers is ordered to one server"
 )
 def check_trials(context, count):
-    now = [max(target.seen_at for target in context.named.values())]
+    now = [max(target.read_at for target in context.named.values())]
     newest = context.named["a"].version
     for version in range(newest + 1, newest + count + 1):
         now[0] += context.seconds
         with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
             guard = _guard_against(context, version, lambda: now[0])
-            named = {model: directory.NamedVersion(version, now[0]) for model in "abc"}
-            context.planner.choose(
+            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
+            context.planner.plan_orders(
                 _list_engines(context),
                 named,
                 tuple("abc"),
                 keeper_fakes.any_server,
-                guard.find_limit,
+                guard.find_server_limit,
             )
             now[0] += _QUARANTINE_SECONDS
-            orders = context.planner.choose(
+            orders = context.planner.plan_orders(
                 _list_engines(context),
                 named,
                 tuple("abc"),
                 keeper_fakes.any_server,
-                guard.find_limit,
+                guard.find_server_limit,
             )
         tried = [order.server.server_id for order in orders if order.model == "a"]
         assert len(tried) == 1, f"version {version} is ordered to {tried}"
@@ -126,10 +126,10 @@
     guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedCrashes(), read_now)
     for number in range(ledger.MOST_CRASHES):
         lost = dataclasses.replace(_list_engines(context)[0], server_id=f"lost-{number}")
-        guard.begin(lost, "a", version)
+        guard.register_load(lost, "a", version)
         guard.record_loss(lost)
     for engine in _list_engines(context):
-        known.put_server(engine)
+        known.update_server(engine)
     return guard
 
 
@@ -143,7 +143,7 @@
     context.count, context.seconds = count, seconds
     context.versions = {(f"s{n}", model): 1 for n in range(count) for model in "abc"}
     context.now, context.version = 1000.0, 1
-    context.planner = plan.OrderPlan()
+    context.planner = plan.OrderPlanner()
 
 
 @behave.when("loads are seen to take {seconds:g} s")
@@ -153,7 +153,7 @@
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         for _ in range(_SEEN_VERSIONS):
             context.version += 1
-            named = {m: directory.NamedVersion(context.version, context.now) for m in "abc"}
+            named = {m: directory.TargetVersion(context.version, context.now) for m in "abc"}
             until = context.now + context.seconds
             while context.now < until:
                 loading += [
--- a/libs/direct/oleander_direct/crash_guard.py
+++ b/libs/direct/oleander_direct/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests from backend servers that ended under them before."""
+"""Detection of requests that crash the backend servers running them."""
 
 import abc
 import collections
@@ -11,12 +11,12 @@
 from oleander_direct import directory, fingerprints, servers, unanswered
 from oleander_quarantine import ledger, records
 
-_MOST_LOST = 256
-"""Lost servers remembered for attempts that have not ended yet."""
+_MAX_LOST_SERVERS = 256
+"""How many lost servers are remembered, for attempts that were still running at the loss."""
 
 
 class CrashPublisher(abc.ABC):
-    """Notifies the other processes of crashes without blocking."""
+    """Announces crashes to the other processes without blocking."""
 
     @abc.abstractmethod
     def publish(self, crash: records.Crash) -> None:
@@ -24,7 +24,7 @@
 
     @abc.abstractmethod
     def withdraw(self, keys: list[records.CrashKey]) -> None:
-        """Announce that crashes no longer count."""
+        """Announce that earlier crashes no longer count."""
 
 
 class AttemptEnd(enum.Enum):
@@ -32,102 +32,111 @@
 
     NOT_SENT = "not-sent"
     ANSWERED = "answered"
-    """The server ran the request and says so."""
-    HEARD = "heard"
-    """The server said that it did not run the request, or failed."""
+    """The server ran the request and answered with success or a client error."""
+    RESPONDED = "heard"
+    """The server answered that it failed or did not run the request."""
     NO_ANSWER = "no-answer"
     SERVER_ENDED = "server-ended"
-    """The server broke off and takes no more connections."""
+    """The server closed the connection early and accepts no new ones."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CrashWatch:
-    """One attempt at a server, from its registration to its end."""
+    """An attempt that is registered with the guard while it runs."""
 
     request_id: str
     fingerprint: str
     server: servers.Server
     is_suspect: bool
-    """Whether servers had ended under the request when the attempt began."""
+    """Whether a server had ended while running the request before this attempt started."""
 
 
 class CrashGuard:
-    """Feeds the attempts of this process into the crash ledger; thread-safe."""
+    """
+    Records crashes from this process's attempts in the crash ledger; thread-safe.
+
+    A crash is the loss of a server that was running a request. A request with recorded crashes
+    is a suspect: it is kept apart from other suspects, and in quarantine it is not sent at all.
+    """
 
     def __init__(
         self,
-        known: directory.Directory,
+        directory_: directory.Directory,
         crashes: ledger.CrashLedger,
         publisher: CrashPublisher,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
     ) -> None:
-        self._directory = known
+        self._directory = directory_
         self._ledger = crashes
         self._publisher = publisher
         self._lock = threading.Lock()
-        self._running: collections.Counter[str] = collections.Counter()
-        self._was_shared: set[str] = set()
-        self._suspects: collections.Counter[str] = collections.Counter()
+        self._running_counts: collections.Counter[str] = collections.Counter()
+        self._shared_incarnations: set[str] = set()
+        self._suspect_counts: collections.Counter[str] = collections.Counter()
         self._unanswered = unanswered.UnansweredAttempts(read_now)
-        self._lost: collections.deque[str] = collections.deque(maxlen=_MOST_LOST)
-        known.watch_lost(self.record_loss)
+        self._lost_incarnations: collections.deque[str] = collections.deque(
+            maxlen=_MAX_LOST_SERVERS
+        )
+        directory_.add_loss_callback(self.record_loss)
 
     def find_quarantine(
-        self, request: servers.CallRequest, is_of_batch: bool
+        self, request: servers.CallRequest, is_batch_item: bool
     ) -> clock.Deadline | None:
-        """Return the end of a request's quarantine, or nothing where there is none."""
+        """Return the end of a request's quarantine, or None if it is in none."""
         if self._ledger.is_empty:
             return None
-        first = ledger.BATCH_QUARANTINE_SECONDS if is_of_batch else ledger.CALL_QUARANTINE_SECONDS
+        first = (
+            ledger.BATCH_QUARANTINE_SECONDS if is_batch_item else ledger.CALL_QUARANTINE_SECONDS
+        )
         return self._ledger.find_quarantine(fingerprints.compute_fingerprint(request), first)
 
     def is_suspect(self, request: servers.CallRequest) -> bool:
-        """Return whether a server ended under a request that none has answered since."""
+        """Return whether a server ended running a request that no server has answered since."""
         if self._ledger.is_empty:
             return False
         return self._ledger.is_suspect(fingerprints.compute_fingerprint(request))
 
     def list_suspect_servers(self) -> frozenset[str]:
-        """Return the ids of servers at which this process runs a suspect."""
+        """Return the ids of servers at which this process is running a suspect request."""
         with self._lock:
-            return frozenset(self._suspects)
+            return frozenset(self._suspect_counts)
 
     def begin(self, request: servers.CallRequest, server: servers.Server) -> CrashWatch:
-        """Register an attempt at a server; the caller finishes it."""
+        """Register an attempt at a server; the caller must pass the result to `finish`."""
         fingerprint = fingerprints.compute_fingerprint(request)
         is_suspect = self._ledger.is_suspect(fingerprint)
         watch = CrashWatch(request.request_id, fingerprint, server, is_suspect)
         with self._lock:
-            self._running[server.incarnation] += 1
-            if self._running[server.incarnation] > 1:
-                self._was_shared.add(server.incarnation)
+            self._running_counts[server.incarnation] += 1
+            if self._running_counts[server.incarnation] > 1:
+                self._shared_incarnations.add(server.incarnation)
             if is_suspect:
-                self._suspects[server.server_id] += 1
+                self._suspect_counts[server.server_id] += 1
         return watch
 
     def finish(self, watch: CrashWatch, end: AttemptEnd) -> None:
-        """Record how an attempt ended."""
+        """Record how an attempt ended and unregister it."""
         if end is AttemptEnd.SERVER_ENDED:
             self._record_crash(watch)
         elif end is AttemptEnd.NO_ANSWER:
-            self._record_silence(watch)
+            self._record_no_answer(watch)
         elif end is not AttemptEnd.NOT_SENT:
-            self._record_heard(watch.server)
+            self._record_sign_of_life(watch.server)
         if end is AttemptEnd.ANSWERED:
             self._record_answer(watch)
         self._unregister(watch)
 
     def record_loss(self, server: servers.Server) -> None:
-        """Record the loss of a server that had not announced that it leaves."""
+        """Record crashes for the loss of a server that had not announced that it would leave."""
         with self._lock:
-            self._lost.append(server.incarnation)
-            attempts = self._unanswered.take(server.incarnation)
+            self._lost_incarnations.append(server.incarnation)
+            attempts = self._unanswered.pop_incarnation(server.incarnation)
         for item in attempts:
             crash = records.create_crash(item.fingerprint, item.incarnation, item.was_alone)
-            self._record(crash, item.request_id)
+            self._record_and_publish(crash, item.request_id)
 
     def _record_crash(self, watch: CrashWatch) -> None:
-        """Record a crash; a server that was leaving, or had left the list, ended as planned."""
+        """Record a crash, unless the server was leaving or unlisted and so ended as planned."""
         server = watch.server
         listed = self._directory.find_server(server.server_id)
         if listed is None or listed.is_leaving:
@@ -135,29 +144,29 @@
         crash = records.create_crash(
             watch.fingerprint, server.incarnation, self._was_alone(server)
         )
-        self._record(crash, watch.request_id)
+        self._record_and_publish(crash, watch.request_id)
 
-    def _record_silence(self, watch: CrashWatch) -> None:
-        """Record that a server did not answer; if it is lost already, it ended under this."""
+    def _record_no_answer(self, watch: CrashWatch) -> None:
+        """Record a missing answer, which is a crash if the server is already known to be lost."""
         incarnation = watch.server.incarnation
         was_alone = self._was_alone(watch.server)
         listed = self._directory.find_server(watch.server.server_id)
         is_listed = listed is not None and listed.incarnation == incarnation
         with self._lock:
-            is_lost = incarnation in self._lost and not is_listed
+            is_lost = incarnation in self._lost_incarnations and not is_listed
             if not is_lost:
                 self._unanswered.add(watch.request_id, watch.fingerprint, incarnation, was_alone)
         if is_lost:
             crash = records.create_crash(watch.fingerprint, incarnation, was_alone)
-            self._record(crash, watch.request_id)
+            self._record_and_publish(crash, watch.request_id)
 
-    def _record_heard(self, server: servers.Server) -> None:
-        """Record a sign of life: the server did not end under earlier attempts."""
+    def _record_sign_of_life(self, server: servers.Server) -> None:
+        """Record that a server is alive, so earlier unanswered attempts did not crash it."""
         with self._lock:
-            self._unanswered.take(server.incarnation)
+            self._unanswered.pop_incarnation(server.incarnation)
 
     def _record_answer(self, watch: CrashWatch) -> None:
-        """Record that a server ran a request and answered it."""
+        """Record that a server ran a request and answered it, which clears its crashes."""
         dropped = self._ledger.record_answer(watch.fingerprint)
         if not dropped:
             return
@@ -167,13 +176,13 @@
             id=watch.request_id,
             request=watch.fingerprint,
             crashes=len(dropped),
-        ).info("a server answered the request")
+        ).info("crashes cleared, since a server answered the request")
 
     def _was_alone(self, server: servers.Server) -> bool:
         with self._lock:
-            return server.incarnation not in self._was_shared
+            return server.incarnation not in self._shared_incarnations
 
-    def _record(self, crash: records.Crash, request_id: str) -> None:
+    def _record_and_publish(self, crash: records.Crash, request_id: str) -> None:
         if not self._ledger.record_crash(crash.key, crash.was_alone):
             return
         metrics.count(metrics.CRASHES)
@@ -186,16 +195,16 @@
             server=crash.incarnation,
             was_alone=crash.was_alone,
             quarantine_s=int(quarantine.remaining) if quarantine else 0,
-        ).info("a server ended under a request")
+        ).info("a server ended while running a request")
 
     def _unregister(self, watch: CrashWatch) -> None:
         server = watch.server
         with self._lock:
-            _decrement(self._running, server.incarnation)
-            if server.incarnation not in self._running:
-                self._was_shared.discard(server.incarnation)
+            _decrement(self._running_counts, server.incarnation)
+            if server.incarnation not in self._running_counts:
+                self._shared_incarnations.discard(server.incarnation)
             if watch.is_suspect:
-                _decrement(self._suspects, server.server_id)
+                _decrement(self._suspect_counts, server.server_id)
 
 
 def _decrement(counts: collections.Counter[str], name: str) -> None:
--- a/libs/orders/oleander_orders/load_guard.py
+++ b/libs/orders/oleander_orders/load_guard.py
@@ -1,4 +1,4 @@
-"""Keeps weights from backend servers once servers ended while they loaded them."""
+"""Quarantine of weight versions that crash the backend servers loading them."""
 
 import collections.abc
 import dataclasses
@@ -8,31 +8,35 @@
 from oleander_direct import crash_guard, directory, servers
 from oleander_quarantine import ledger, records
 
-_WATCHED_SECONDS = 8.0
-"""A lost server leaves the list within a few heartbeats, or is replaced at its address."""
+_ATTRIBUTION_SECONDS = 8.0
+"""
+How long after an order the loss of a server is attributed to the load.
+
+A lost server leaves the list, or is replaced at its address, within a few heartbeats.
+"""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Load:
-    """The newest load that a server was ordered and is not known to have done."""
+class _OrderedLoad:
+    """The last load that was ordered from a server and is not known to be complete."""
 
     model: str
     version: int
     expires_at: float
-    """After this the loss of its server is not attributed to it."""
+    """Monotonic seconds after which the loss of the server is not attributed to the load."""
 
 
 class LoadGuard:
     """
-    Feeds loads of weights into the crash ledger; thread-safe.
+    Records in the crash ledger which servers were lost while loading weights; thread-safe.
 
-    Weights that recur in crashes are in quarantine until some server runs them. After it a single
-    server may load them.
+    Weights that caused repeated crashes are quarantined. After the quarantine one server at a
+    time may load them, until one has done so.
     """
 
     def __init__(
         self,
-        known: directory.Directory,
+        directory_: directory.Directory,
         crashes: ledger.CrashLedger,
         publisher: crash_guard.CrashPublisher,
         read_now: collections.abc.Callable[[], float] = clock.read_now,
@@ -41,11 +45,13 @@
         self._publisher = publisher
         self._read_now = read_now
         self._lock = threading.Lock()
-        self._loads: dict[str, _Load] = {}
-        known.watch_lost(self.record_loss)
+        self._loads: dict[str, _OrderedLoad] = {}
+        directory_.add_loss_callback(self.record_loss)
 
-    def find_limit(self, listed: list[servers.Server], model: str, version: int) -> int | None:
-        """Return how many servers may load a version now; nothing for any number."""
+    def find_server_limit(
+        self, listed: list[servers.Server], model: str, version: int
+    ) -> int | None:
+        """Return how many servers may load a version now, or None if there is no limit."""
         fingerprint = _compute_fingerprint(model, version)
         if not self._ledger.is_recurrent(fingerprint):
             return None
@@ -57,30 +63,32 @@
             return 1
         log.warn_bounded(
             "load-quarantined",
-            "servers ended while they loaded it",
+            "quarantined, since servers ended while loading it",
             model=model,
             version=version,
             quarantine_s=int(quarantine.remaining),
         )
         return 0
 
-    def begin(self, server: servers.Server, model: str, version: int) -> None:
-        """Register a load before it is ordered."""
+    def register_load(self, server: servers.Server, model: str, version: int) -> None:
+        """Register a load; must be called before it is ordered."""
         now = self._read_now()
         with self._lock:
             for incarnation in [
                 name for name, item in self._loads.items() if item.expires_at < now
             ]:
                 del self._loads[incarnation]
-            self._loads[server.incarnation] = _Load(model, version, now + _WATCHED_SECONDS)
+            self._loads[server.incarnation] = _OrderedLoad(
+                model, version, now + _ATTRIBUTION_SECONDS
+            )
 
     def record_refused(self, server: servers.Server) -> None:
-        """Record that a server does not carry out its order."""
+        """Record that a server refused its order and so loads nothing."""
         with self._lock:
             self._loads.pop(server.incarnation, None)
 
     def record_loaded(self, server: servers.Server, model: str, version: int) -> None:
-        """Record that a server runs a version."""
+        """Record that a server has loaded a version, which clears the version's crashes."""
         with self._lock:
             self._loads.pop(server.incarnation, None)
         dropped = self._ledger.record_answer(_compute_fingerprint(model, version))
@@ -89,10 +97,10 @@
         self._publisher.withdraw(dropped)
         log.logger.bind(
             event="load-crash-cleared", model=model, version=version, crashes=len(dropped)
-        ).info("a server loaded it")
+        ).info("crashes cleared, since a server loaded the version")
 
     def record_loss(self, server: servers.Server) -> None:
-        """Record the loss of a server that had not announced that it leaves."""
+        """Record a crash if an unannounced loss of a server ended a load."""
         with self._lock:
             load = self._loads.pop(server.incarnation, None)
         if load is None or load.expires_at < self._read_now():
@@ -100,7 +108,7 @@
         if (server.find_version(load.model) or 0) < load.version:
             self._record_crash(server, load)
 
-    def _record_crash(self, server: servers.Server, load: _Load) -> None:
+    def _record_crash(self, server: servers.Server, load: _OrderedLoad) -> None:
         fingerprint = _compute_fingerprint(load.model, load.version)
         crash = records.create_crash(fingerprint, server.incarnation, was_alone=False)
         if not self._ledger.record_crash(crash.key, crash.was_alone):
@@ -115,7 +123,7 @@
             version=load.version,
             server=server.incarnation,
             quarantine_s=int(quarantine.remaining) if quarantine else 0,
-        ).info("a server ended while it loaded weights")
+        ).info("a server ended while loading weights")
 
 
 def _compute_fingerprint(model: str, version: int) -> str:
--- a/libs/orders/oleander_orders/load_throttle.py
+++ b/libs/orders/oleander_orders/load_throttle.py
@@ -1,4 +1,4 @@
-"""Whether one more server may load weights now, by what the others say of themselves."""
+"""A limit on how many servers load weights at once, based on the servers' own reports."""
 
 import collections.abc
 import random
@@ -7,54 +7,58 @@
 from oleander_direct import servers
 from oleander_orders import plan
 
-_MOST_ASKED = 12
-"""Servers that are asked before an order; in a large fleet they are a sample of the others."""
-_MOST_WAIT_SECONDS = 8.0
-"""After this an order is given all the same: servers that say for ever that they load must not
-keep the others from new weights."""
+_MAX_ASKED_SERVERS = 12
+"""How many servers are asked before an order; in a larger fleet they are a random sample."""
+_MAX_WAIT_SECONDS = 8.0
+"""
+How long an order may be deferred before it is given anyway.
+
+Servers that report for ever that they are loading must not keep the others from new weights.
+"""
 
 
 class LoadThrottle:
     """
-    Keeps servers from loading weights all at once; used by one thread.
+    Keeps servers from all loading weights at once; not thread-safe.
 
-    Processes with rights to different servers order them in turns, by the time since a version was
-    named. Turns that are shorter than a load overlap, until all servers load at once and none
-    takes work. How long a load takes is not known beforehand, so the servers are asked.
+    Processes that hold the leases of different servers order them in waves, by the time since a
+    version was published. Waves that are shorter than a load overlap, until all servers load at
+    once and none serves requests. The duration of a load is not known in advance, so the servers
+    are asked whether they are loading.
     """
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self._waits_since: dict[tuple[str, str], float] = {}
+        self._waiting_since: dict[tuple[str, str], float] = {}
 
-    def must_wait(
+    def must_defer(
         self,
         order: plan.PlannedOrder,
         placed: list[servers.Server],
-        most_loading: int,
+        max_loading: int,
         is_loading: collections.abc.Callable[[servers.Server], bool],
     ) -> bool:
-        """Ask some of the model's servers that do not show the version yet; too many may load."""
-        lacking = _list_lacking(order, placed)
-        asked = self._random.sample(lacking, min(_MOST_ASKED, len(lacking)))
+        """Return whether too many are loading among the model's servers without the version."""
+        outdated = _list_outdated(order, placed)
+        asked = self._random.sample(outdated, min(_MAX_ASKED_SERVERS, len(outdated)))
         loading = sum(map(is_loading, asked))
-        is_crowded = loading * len(lacking) >= most_loading * len(asked)
+        is_crowded = loading * len(outdated) >= max_loading * len(asked)
         if not asked or not is_crowded:
-            self._waits_since.pop(_find_key(order), None)
+            self._waiting_since.pop(_build_key(order), None)
             return False
         return not self._has_waited_long(order, loading, len(asked))
 
-    def forget_gone(self, listed: collections.abc.Iterable[servers.Server]) -> None:
-        """Forget servers that are gone."""
+    def remove_lost_servers(self, listed: collections.abc.Iterable[servers.Server]) -> None:
+        """Remove the state of servers that are no longer listed."""
         known = {server.incarnation for server in listed}
-        for key in [item for item in self._waits_since if item[0] not in known]:
-            del self._waits_since[key]
+        for key in [item for item in self._waiting_since if item[0] not in known]:
+            del self._waiting_since[key]
 
     def _has_waited_long(self, order: plan.PlannedOrder, loading: int, asked: int) -> bool:
-        key = _find_key(order)
+        key = _build_key(order)
         now = clock.read_now()
-        if key not in self._waits_since:
-            self._waits_since[key] = now
+        if key not in self._waiting_since:
+            self._waiting_since[key] = now
             log.logger.bind(
                 event="order-waits",
                 server=order.server.incarnation,
@@ -62,23 +66,23 @@
                 version=order.version,
                 loading=loading,
                 asked=asked,
-            ).info("too many servers load")
-        if now - self._waits_since[key] < _MOST_WAIT_SECONDS:
+            ).info("deferred, since too many servers are loading")
+        if now - self._waiting_since[key] < _MAX_WAIT_SECONDS:
             return False
-        del self._waits_since[key]
+        del self._waiting_since[key]
         return True
 
 
-def _find_key(order: plan.PlannedOrder) -> tuple[str, str]:
+def _build_key(order: plan.PlannedOrder) -> tuple[str, str]:
     return order.server.incarnation, order.model
 
 
-def _list_lacking(order: plan.PlannedOrder, listed: list[servers.Server]) -> list[servers.Server]:
-    """Return the other servers that have the model, but not the version yet."""
+def _list_outdated(order: plan.PlannedOrder, listed: list[servers.Server]) -> list[servers.Server]:
+    """Return the other servers that have an older version of the order's model."""
     return [
         other
         for other in listed
         if other.incarnation != order.server.incarnation
-        and (has := other.find_version(order.model)) is not None
-        and has < order.version
+        and (version := other.find_version(order.model)) is not None
+        and version < order.version
     ]
