--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -48,19 +48,20 @@
     "moves": (f"{_PROGRAM}/batch_run.py", "    moves=True,", "    moves=False,"),
     "kept-starts": (
         f"{_PROGRAM}/batch_runner.py",
-        "_LEAST_KEPT_EVENTS = 12",
-        "_LEAST_KEPT_EVENTS = 1_000_000",
+        "_MIN_CHECKPOINT_EVENTS = 12",
+        "_MIN_CHECKPOINT_EVENTS = 1_000_000",
     ),
     "tenures": (
-        f"{_PROGRAM}/batch_tenures.py",
-        "        return batch.runner not in (self._name, self._taken_from",
-        "        if not self._owned.owns(self._journal.find_runner_partition(batch)):\n"
+        f"{_PROGRAM}/batch_ownership.py",
+        "        return batch.runner not in (self._name, self._previous_runners",
+        "        if not self._partition_ownership.owns("
+        "self._journal.find_runner_partition(batch)):\n"
         "            return True\n"
-        "        return batch.runner not in (self._name, self._taken_from",
+        "        return batch.runner not in (self._name, self._previous_runners",
     ),
     "orphans": (
-        f"{_PROGRAM}/batch_tenures.py",
-        "        if batch.runner or not self._owned.is_believed:",
+        f"{_PROGRAM}/batch_ownership.py",
+        "        if batch.runner or not self._partition_ownership.is_believed:",
         "        if batch:",
     ),
     "window-sizes": (
--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -10,7 +10,7 @@
 from oleander_batches import journal
 from oleander_direct import calls, directory, routes, servers
 from oleander_routing import router
-from oleanderdeal import batch_runner, batch_tenures, item_task, ownership, result_writer
+from oleanderdeal import batch_ownership, batch_runner, item_task, ownership, result_writer
 
 ITEMS = 4
 EVENTS = 6
@@ -144,7 +144,7 @@
         self._put_server("s1", "scorers", ())
         self.journal = journal.BatchJournal(log_service, self.group, 4, 100.0)
         self.owned = ownership.Ownership(log_service, member, self.group)
-        tenures = batch_tenures.BatchTenures(self.journal, self.owned, member)
+        tenures = batch_ownership.BatchOwnership(self.journal, self.owned, member)
         dispatcher = calls.CallDispatcher(self._known, chooser, engines)
         items = item_task.ItemRunner(self._known, chooser, engines, dispatcher, self.group)
         writer = result_writer.ResultWriter(self.journal, self.group)
@@ -155,8 +155,8 @@
             self.journal.index.follow,
             self.owned.keep,
             writer.write,
-            self.runner.feed,
-            self.runner.keep_partials,
+            self.runner.start_items,
+            self.runner.checkpoint_partials,
         ):
             self.group.keep(task)
 
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -18,7 +18,7 @@
     def __init__(self, gap_ms, wait_ms):
         self._gap = gap_ms / 1000
         self.spare_rate = None
-        policy = batch_run.POLICY
+        policy = batch_run.STRAGGLER_POLICY
         assert isinstance(policy, hedging.StragglerPolicy)
         groups = tuple(steps.Group("", "", 1, 10_000) for _ in range(_SHORT_TEXTS + 1))
         self._scheduler = scheduler.WorkScheduler(
--- a/programs/oleanderdeal/oleanderdeal/batch_tenures.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -4,20 +4,20 @@
 from oleander_batches import fold, journal
 from oleanderdeal import ownership
 
-_SILENT_SECONDS = 1.6
+_RUNNER_TIMEOUT_SECONDS = 1.6
 """A runner that was not heard for so long is replaced; longer than the time between two of its
 records, see `batch_runner`."""
-_HEARD_SECONDS = 0.5
+_ANNOUNCE_AFTER_SECONDS = 0.5
 """A runner whose last record is younger says nothing: the next turn comes in time."""
-_ORPHAN_SECONDS = 0.6
+_ORPHAN_TIMEOUT_SECONDS = 0.6
 """A batch that nobody has said to run for so long is run by the process that accepted it. Whoever
 its partition is assigned to says so sooner."""
-_LISTEN_SECONDS = 1.0
+_UNHEARD_RUNNER_TIMEOUT_SECONDS = 1.0
 """For so long a process that knows a runner from history alone listens before it replaces it;
 longer than the time between two records of a runner."""
 
 
-class BatchTenures:
+class BatchOwnership:
     """
     A batch stays with the process that runs it, whoever its partition is dealt to meanwhile.
 
@@ -30,43 +30,52 @@
     cut off, 1 play in 19 lost a step and a half to such a move, and none in 16 plays with this.
     """
 
-    def __init__(self, kept: journal.BatchJournal, owned: ownership.Ownership, name: str) -> None:
-        self._journal = kept
-        self._owned = owned
+    def __init__(
+        self,
+        batch_journal: journal.BatchJournal,
+        partition_ownership: ownership.Ownership,
+        name: str,
+    ) -> None:
+        self._journal = batch_journal
+        self._partition_ownership = partition_ownership
         self._name = name
-        self._taken_from: dict[str, str] = {}
+        self._previous_runners: dict[str, str] = {}
         """Whom the index named as the runner of a batch when this process took it."""
-        self._listens_since: dict[str, float] = {}
+        self._unheard_since: dict[str, float] = {}
 
     def may_take(self, batch: fold.Batch) -> bool:
         """Tell whether this process should run a batch that it does not run."""
-        if not self._owned.owns(self._journal.find_runner_partition(batch)):
+        if not self._partition_ownership.owns(self._journal.find_runner_partition(batch)):
             return self._is_orphan(batch)
         if batch.runner in ("", self._name):
             return True
         now = clock.read_now()
         if batch.heard_at:
-            return now >= batch.heard_at + _SILENT_SECONDS
-        return now >= self._listens_since.setdefault(batch.batch_id, now) + _LISTEN_SECONDS
+            return now >= batch.heard_at + _RUNNER_TIMEOUT_SECONDS
+        return (
+            now
+            >= self._unheard_since.setdefault(batch.batch_id, now)
+            + _UNHEARD_RUNNER_TIMEOUT_SECONDS
+        )
 
     def must_stop(self, batch: fold.Batch) -> bool:
         """Tell whether a batch that this process runs is another's now."""
-        if not self._owned.is_believed:
+        if not self._partition_ownership.is_believed:
             return True
-        return batch.runner not in (self._name, self._taken_from.get(batch.batch_id, ""))
+        return batch.runner not in (self._name, self._previous_runners.get(batch.batch_id, ""))
 
-    def note_taken(self, batch: fold.Batch) -> None:
+    def record_taken(self, batch: fold.Batch) -> None:
         """Remember that this process runs a batch from now on."""
-        self._listens_since.clear()
-        if not self._owned.owns(self._journal.find_runner_partition(batch)):
+        self._unheard_since.clear()
+        if not self._partition_ownership.owns(self._journal.find_runner_partition(batch)):
             log.logger.bind(event="batch-orphan", batch=batch.batch_id).info(
                 "accepted here and run by nobody"
             )
-        self._taken_from[batch.batch_id] = batch.runner
+        self._previous_runners[batch.batch_id] = batch.runner
 
     def forget(self, batch_id: str) -> None:
         """Forget a batch that this process runs no more."""
-        self._taken_from.pop(batch_id, None)
+        self._previous_runners.pop(batch_id, None)
 
     def announce(self, batches: list[fold.Batch]) -> None:
         """
@@ -76,13 +85,13 @@
         then dealt to another, that one may learn of it first, and would take it for gone: the
         texts of its batches were all made twice.
         """
-        doubtful = [batch.batch_id for batch in batches if self._is_doubtful(batch)]
+        doubtful = [batch.batch_id for batch in batches if self._needs_announcement(batch)]
         if doubtful:
-            self._say(doubtful, self._name)
+            self._write_runner(doubtful, self._name)
 
     def release(self, batches: list[fold.Batch]) -> bool:
         """Hand these batches to whoever their partitions are dealt to; return success."""
-        return not batches or self._say([batch.batch_id for batch in batches], "")
+        return not batches or self._write_runner([batch.batch_id for batch in batches], "")
 
     def _is_orphan(self, batch: fold.Batch) -> bool:
         """
@@ -93,18 +102,18 @@
         batch lives and reaches the log. It must have read the index as it is since, or it would
         run a batch that the other has taken.
         """
-        if batch.runner or not self._owned.is_believed:
+        if batch.runner or not self._partition_ownership.is_believed:
             return False
         if not self._journal.was_accepted_here(batch.batch_id):
             return False
-        orphan_at = max(batch.seen_at, batch.heard_at) + _ORPHAN_SECONDS
+        orphan_at = max(batch.seen_at, batch.heard_at) + _ORPHAN_TIMEOUT_SECONDS
         return self._journal.index.complete_at >= orphan_at
 
-    def _is_doubtful(self, batch: fold.Batch) -> bool:
-        was_heard = clock.read_now() < batch.heard_at + _HEARD_SECONDS
+    def _needs_announcement(self, batch: fold.Batch) -> bool:
+        was_heard = clock.read_now() < batch.heard_at + _ANNOUNCE_AFTER_SECONDS
         return batch.runner != self._name or not was_heard
 
-    def _say(self, batch_ids: list[str], runner: str) -> bool:
+    def _write_runner(self, batch_ids: list[str], runner: str) -> bool:
         said = self._journal.note_runner(batch_ids, runner)
         log.logger.bind(
             event="batch-tenure",
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -11,7 +11,7 @@
 from oleander_samples import hedging, scheduler, steps, work
 from oleanderdeal import item_texts
 
-POLICY = hedging.StragglerPolicy(
+STRAGGLER_POLICY = hedging.StragglerPolicy(
     hedge_percent=0,
     moves=True,
     nearly_whole_percent=10,
@@ -26,7 +26,7 @@
 _MILLISECONDS = 1000
 _LEAST_URGENT = 5
 _MOST_URGENT = 1
-_URGENCIES = 4
+_URGENCY_RANGE = 4
 """Steps between the two over the time in which a batch is due."""
 
 
@@ -76,14 +76,14 @@
         self._attempt_ended = threading.Condition(self._lock)
         step = _build_step(submitted, event_tokens)
         seed = identifiers.hash_text(submitted.batch_id)
-        self._scheduler = scheduler.WorkScheduler(step, POLICY, seed)
+        self._scheduler = scheduler.WorkScheduler(step, STRAGGLER_POLICY, seed)
         self._scheduler.raise_oldest(submitted.oldest_version, clock.read_now())
         self._errors: collections.Counter[int] = collections.Counter()
         self._cancelled: set[str] = set()
         self._last_servers: dict[int, str] = {}
         self._is_stopped = False
-        self._seen_events: dict[str, int] = {}
-        self._kept_events: dict[int, int] = {}
+        self._received_events: dict[str, int] = {}
+        self._checkpointed_events: dict[int, int] = {}
         self._results: dict[int, submission.ItemResult] = {}
         self._known_finished: set[int] = set()
 
@@ -103,12 +103,12 @@
         return clock.read_now() - self._batch.seen_at
 
     @property
-    def is_given_up(self) -> bool:
+    def is_stopped(self) -> bool:
         """Whether no more items are generated."""
         return self._is_stopped
 
     @property
-    def is_wanted(self) -> bool:
+    def is_result_wanted(self) -> bool:
         """Whether results of it are still of use."""
         return not self._batch.is_ended
 
@@ -123,14 +123,14 @@
             while self._scheduler.in_flight and not deadline.is_past:
                 self._attempt_ended.wait(deadline.remaining)
 
-    def note_listed(self) -> None:
+    def drop_finished_items(self) -> None:
         """Take in which items have results, whoever made them."""
         with self._lock:
             for number in list(self._batch.finished - self._known_finished):
                 self._known_finished.add(number)
                 self._cancelled.update(self._scheduler.drop(number))
 
-    def give_up_all(self) -> list[tuple[int, submission.ItemResult]]:
+    def give_up_unfinished(self) -> list[tuple[int, submission.ItemResult]]:
         """Give up what has no result, and return that it is lost."""
         self.stop()
         lost = submission.ResultState.LOST
@@ -140,7 +140,7 @@
             if number not in self._batch.finished and number not in self._results
         ]
 
-    def resume_item(self, partial: submission.PartialText) -> None:
+    def restore_partial(self, partial: submission.PartialText) -> None:
         """Take in the start of a text that another process made."""
         if not 0 <= partial.item_number < len(self._submitted.items):
             return
@@ -152,21 +152,22 @@
             with self._lock:
                 self._scheduler.resume_from(partial.item_number, start)
 
-    def note_result(self, item_number: int, result: submission.ItemResult) -> None:
+    def record_result(self, item_number: int, result: submission.ItemResult) -> None:
         """Remember a result, for an item that comes again in a later batch."""
         self._results[item_number] = result
 
-    def list_texts(self) -> list[item_texts.KnownText]:
+    def list_known_texts(self) -> list[item_texts.KnownText]:
         """Return what was made of each item, for a later batch that names it again."""
         with self._lock:
             found = self._scheduler.list_partials()
-        starts = [self._describe_partial(number, start) for number, start in found.items()]
-        known = [self._describe_known(start.item_number, start, None) for start in starts]
+        starts = [self._build_partial(number, start) for number, start in found.items()]
+        known = [self._build_known_text(start.item_number, start, None) for start in starts]
         return known + [
-            self._describe_known(number, None, result) for number, result in self._results.items()
+            self._build_known_text(number, None, result)
+            for number, result in self._results.items()
         ]
 
-    def _describe_known(
+    def _build_known_text(
         self,
         number: int,
         start: submission.PartialText | None,
@@ -186,20 +187,20 @@
             known = texts.find(submitted.organisation, item.item_id, submitted.model)
             if known is None or number in self._batch.finished:
                 continue
-            if known.start is not None:
-                self.resume_item(dataclasses.replace(known.start, item_number=number))
-            elif known.result is not None and self._fits(known.result):
+            if known.partial is not None:
+                self.restore_partial(dataclasses.replace(known.partial, item_number=number))
+            elif known.result is not None and self._is_reusable(known.result):
                 reused.append((number, known.result))
                 with self._lock:
                     self._scheduler.drop(number)
         return reused
 
-    def _fits(self, result: submission.ItemResult) -> bool:
+    def _is_reusable(self, result: submission.ItemResult) -> bool:
         """Tell whether a result is whole and new enough."""
         is_done = result.state is submission.ResultState.DONE
         return is_done and min(result.versions) >= self._submitted.oldest_version
 
-    def read_urgency(self, due_seconds: float) -> int:
+    def compute_urgency(self, due_seconds: float) -> int:
         """
         Return how urgent its items are, from 1 to 5, by how much of their time is over.
 
@@ -207,23 +208,24 @@
         that is due first goes first, without the entries knowing of each other.
         """
         passed = self.age_seconds / due_seconds
-        return max(_MOST_URGENT, _LEAST_URGENT - int(_URGENCIES * passed))
+        return max(_MOST_URGENT, _LEAST_URGENT - int(_URGENCY_RANGE * passed))
 
-    def list_grown(self, least_events: int) -> list[submission.PartialText]:
+    def list_grown_partials(self, min_new_events: int) -> list[submission.PartialText]:
         """Return the starts of texts that grew by so many events since they were last kept."""
         with self._lock:
             found = self._scheduler.list_partials()
-        partials = [self._describe_partial(number, start) for number, start in found.items()]
+        partials = [self._build_partial(number, start) for number, start in found.items()]
         return [
             partial
             for partial in partials
-            if partial.events >= self._kept_events.get(partial.item_number, 0) + least_events
+            if partial.events
+            >= self._checkpointed_events.get(partial.item_number, 0) + min_new_events
         ]
 
-    def note_kept(self, partials: list[submission.PartialText]) -> None:
+    def record_checkpointed(self, partials: list[submission.PartialText]) -> None:
         """Take in that these starts stand in the log."""
         for partial in partials:
-            self._kept_events[partial.item_number] = partial.events
+            self._checkpointed_events[partial.item_number] = partial.events
 
     def start_next(
         self, now: float, due_seconds: float, spare: router.SparePeer | None
@@ -243,7 +245,7 @@
             return None
         events = started.resumed_tokens // self._event_tokens
         item = self._submitted.items[started.number]
-        urgency = self.read_urgency(due_seconds)
+        urgency = self.compute_urgency(due_seconds)
         expected = started.expected_tokens / self._event_tokens
         return ItemWork(self, started, item, started.number, events, urgency, expected)
 
@@ -256,11 +258,11 @@
         name = self._last_servers.get(item_number)
         return frozenset() if name is None else frozenset((name,))
 
-    def note_server(self, item_number: int, server_id: str) -> None:
+    def record_server(self, item_number: int, server_id: str) -> None:
         """Remember who generates an item."""
         self._last_servers[item_number] = server_id
 
-    def note_event(self, item: ItemWork, text: str, version: int | None) -> None:
+    def record_event(self, item: ItemWork, text: str, version: int | None) -> None:
         """Take in the next event of a text; events are joined by line feeds."""
         with self._lock:
             joined = text if self._is_first(item) else f"\n{text}"
@@ -269,25 +271,27 @@
                 item.work.work_id, joined, self._event_tokens, version, now
             )
             self._cancelled.update(self._scheduler.take_cancellations())
-            self._seen_events[item.work.work_id] = self._seen_events.get(item.work.work_id, 0) + 1
+            self._received_events[item.work.work_id] = (
+                self._received_events.get(item.work.work_id, 0) + 1
+            )
 
     def finish(self, item: ItemWork) -> steps.Sample | None:
         """Take in the end of a whole text; return it unless it can't be used."""
         with self._lock:
-            self._forget(item)
+            self._clear_attempt(item)
             built = self._scheduler.finish(item.work.work_id, None, clock.read_now())
         return built.ok if built.is_ok() else None
 
     def fail(self, item: ItemWork) -> None:
         """Take in that an attempt broke off; the item is resumed or made anew."""
         with self._lock:
-            self._forget(item)
+            self._clear_attempt(item)
             self._scheduler.fail(item.work.work_id, clock.read_now())
 
-    def put_back(self, item: ItemWork, delay_seconds: float = 0.0) -> None:
+    def requeue(self, item: ItemWork, delay_seconds: float = 0.0) -> None:
         """Let an item wait again whose attempt was refused, or not sent, before it began."""
         with self._lock:
-            self._forget(item)
+            self._clear_attempt(item)
             self._scheduler.put_back(item.work.work_id, clock.read_now() + delay_seconds)
 
     def count_error(self, item_number: int) -> int:
@@ -297,14 +301,14 @@
             return self._errors[item_number]
 
     def _is_first(self, item: ItemWork) -> bool:
-        return not item.resumed_events and not self._seen_events.get(item.work.work_id)
+        return not item.resumed_events and not self._received_events.get(item.work.work_id)
 
-    def _forget(self, item: ItemWork) -> None:
+    def _clear_attempt(self, item: ItemWork) -> None:
         self._attempt_ended.notify_all()
-        self._seen_events.pop(item.work.work_id, None)
+        self._received_events.pop(item.work.work_id, None)
         self._cancelled.discard(item.work.work_id)
 
-    def _describe_partial(self, number: int, start: work.Partial) -> submission.PartialText:
+    def _build_partial(self, number: int, start: work.Partial) -> submission.PartialText:
         label = tuple((part.version, part.tokens // self._event_tokens) for part in start.label)
         events = start.tokens // self._event_tokens
         return submission.PartialText(number, start.text, events, label)
--- a/programs/oleanderdeal/oleanderdeal/checkpoints.py
+++ b/programs/oleanderdeal/oleanderdeal/checkpoints.py
@@ -4,7 +4,7 @@
 
 from oleander_base import clock, log
 from oleander_batches import journal
-from oleanderdeal import batch_run, batch_tenures
+from oleanderdeal import batch_ownership, batch_run
 
 _STOP_SECONDS = 0.2
 """In which the streams of a stopped run have ended, unless a server is silent."""
@@ -13,7 +13,9 @@
 class BatchCheckpoints:
     """Writes what other processes need to go on with a batch; safe to use from several threads."""
 
-    def __init__(self, kept: journal.BatchJournal, tenures: batch_tenures.BatchTenures) -> None:
+    def __init__(
+        self, kept: journal.BatchJournal, tenures: batch_ownership.BatchOwnership
+    ) -> None:
         self._journal = kept
         self._tenures = tenures
         self._lock = threading.Lock()
@@ -21,12 +23,12 @@
 
     def keep(self, run: batch_run.BatchRun, least_events: int, event: str = "kept") -> bool:
         """Keep the starts that grew by so many events; return whether none is left to be kept."""
-        partials = run.list_grown(least_events) if run.batch.is_open else []
+        partials = run.list_grown_partials(least_events) if run.batch.is_open else []
         if not partials:
             return True
         kept = self._journal.keep_partials(run.batch.batch_id, partials)
         if kept.is_ok():
-            run.note_kept(partials)
+            run.record_checkpointed(partials)
         log.logger.bind(
             event=f"partials-{event}",
             batch=run.batch.batch_id,
@@ -52,7 +54,7 @@
         What was made since they were listed is kept once its streams have ended. Where there is no
         start yet, only the record that hands the batch over shows whether the log answers.
         """
-        if run.is_given_up or not run.list_grown(1):
+        if run.is_stopped or not run.list_grown_partials(1):
             return True
         if not self.keep(run, 1, "handed-over"):
             return False
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -16,8 +16,8 @@
 from oleander_routing import preferred, router
 from oleanderdeal import (
     batch_api,
+    batch_ownership,
     batch_runner,
-    batch_tenures,
     crash_records,
     http_server,
     item_task,
@@ -161,7 +161,7 @@
         self._runner = batch_runner.BatchRunner(
             self._known,
             self._journal,
-            batch_tenures.BatchTenures(self._journal, self._owned, chosen.name),
+            batch_ownership.BatchOwnership(self._journal, self._owned, chosen.name),
             self._router,
             items,
             self._writer,
@@ -208,8 +208,8 @@
         self._group.keep(self._journal.index.follow)
         self._group.keep(self._owned.keep)
         self._group.keep(self._writer.write)
-        self._group.keep(self._runner.feed)
-        self._group.keep(self._runner.keep_partials)
+        self._group.keep(self._runner.start_items)
+        self._group.keep(self._runner.checkpoint_partials)
         self._group.keep(self._keeper.keep)
         if self._reporter is not None:
             self._group.keep(self._reporter.flush_counts)
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -9,19 +9,19 @@
 from oleander_samples import steps
 from oleanderdeal import batch_run
 
-_STREAM_SECONDS = 30.0
+_STREAM_TIMEOUT_SECONDS = 30.0
 """Far above the longest text; a stream that stands still is noticed by its silence."""
-_SILENCE_SECONDS = 2.5
+_SILENCE_TIMEOUT_SECONDS = 2.5
 """Without an event for so long an engine counts as silent: longer than a change of weights."""
-_SCORING_SECONDS = 3.0
+_SCORING_TIMEOUT_SECONDS = 3.0
 """A scoring that hangs is asked again after this, while its step can be in time."""
-_SCORING_AGAIN_SECONDS = 0.05
+_SCORING_RETRY_SECONDS = 0.05
 """Between tries of a scoring that was refused."""
-_QUARANTINE_LOOK_SECONDS = 1.0
+_QUARANTINE_POLL_SECONDS = 1.0
 """Between tries of a quarantined scoring: its quarantine may end early."""
-_RATED_EVENTS = 5
+_EVENTS_PER_RATE_REPORT = 5
 """Events from one report of a server's rate to the next."""
-_BAD_ITEM = 422
+_UNPROCESSABLE_STATUS = 422
 
 
 class ItemRunner:
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        known: directory.Directory,
+        server_directory: directory.Directory,
         router_: router.Router,
         caller: servers.ServerCaller,
         dispatcher: calls.CallDispatcher,
@@ -37,7 +37,7 @@
         guard: crash_guard.CrashGuard | None = None,
     ) -> None:
         self._guard = guard
-        self._directory = known
+        self._directory = server_directory
         self._router = router_
         self._caller = caller
         self._dispatcher = dispatcher
@@ -60,7 +60,7 @@
         if isinstance(ended, submission.ItemResult):
             return ended
         if ended is None:
-            return self._give_up_failing(item, outcome)
+            return self._give_up_after_errors(item, outcome)
         return self._score(item, ended)
 
     def _run_attempt(
@@ -84,14 +84,14 @@
         finally:
             outcome.leave_queue()
             if self._guard is not None and watch is not None:
-                self._guard.finish(watch, outcome.read_end(ended))
+                self._guard.finish(watch, outcome.classify_end(ended))
         seconds = clock.read_now() - started_at
-        rated, milliseconds = outcome.rate(seconds)
+        rated, milliseconds = outcome.compute_rating(seconds)
         self._router.note_finished(server.server_id, rated, milliseconds)
-        _note_attempt(item, server, outcome, seconds)
+        _log_attempt(item, server, outcome, seconds)
         return ended
 
-    def _give_up_failing(
+    def _give_up_after_errors(
         self, item: batch_run.ItemWork, outcome: "_ItemAttempt"
     ) -> submission.ItemResult | None:
         route = self._find_route(item)
@@ -99,7 +99,7 @@
             return None
         if item.run.count_error(item.item_number) < route.most_servers:
             return None
-        return _lose(item.item)
+        return _build_lost_result(item.item)
 
     def _find_route(self, item: batch_run.ItemWork) -> routes.Route | None:
         table = self._directory.table
@@ -112,33 +112,33 @@
         """Ask for the score until there is one; a text without it is of no use."""
         scoring = item.item.scoring
         if scoring is None:
-            return _complete(item.item, sample, "")
+            return _build_done_result(item.item, sample, "")
         errors = 0
-        pause = _SCORING_AGAIN_SECONDS
-        while item.run.is_wanted and not self._group.is_stopping:
+        pause = _SCORING_RETRY_SECONDS
+        while item.run.is_result_wanted and not self._group.is_stopping:
             table = self._directory.table
             route = table.match(scoring.host, scoring.path) if table else None
             if route is not None:
-                outcome = self._ask_score(route, scoring, item)
+                outcome = self._request_score(route, scoring, item)
                 if isinstance(outcome, call_outcomes.Answered):
                     if outcome.answer.is_success and outcome.answer.stamp:
-                        return _complete(item.item, sample, outcome.answer.stamp)
+                        return _build_done_result(item.item, sample, outcome.answer.stamp)
                     errors += outcome.errors
                     if errors >= route.most_servers:
-                        return _lose(item.item)
-                pause = _choose_pause(outcome)
+                        return _build_lost_result(item.item)
+                pause = _compute_pause(outcome)
             self._group.pause(pause)
         return None
 
-    def _ask_score(
+    def _request_score(
         self, route: routes.Route, scoring: submission.Scoring, item: batch_run.ItemWork
     ) -> call_outcomes.CallOutcome:
         request = servers.CallRequest(
             scoring.request_id, scoring.host, "POST", scoring.path, (), scoring.body, True
         )
-        deadline = clock.start_deadline(_SCORING_SECONDS)
+        deadline = clock.start_deadline(_SCORING_TIMEOUT_SECONDS)
         return self._dispatcher.call(
-            route, request, deadline, lambda: not item.run.is_wanted, is_windowed=True
+            route, request, deadline, lambda: not item.run.is_result_wanted, is_windowed=True
         )
 
 
@@ -178,13 +178,13 @@
         """Return the whole text, a final result, or nothing where the item goes back."""
         call = self._item.call
         request = servers.GenerateRequest(call, self._item.resumed_events, self._item.urgency)
-        deadline = clock.start_deadline(_STREAM_SECONDS)
-        opened = self._caller.generate(self._server, request, deadline, self._is_unwanted)
+        deadline = clock.start_deadline(_STREAM_TIMEOUT_SECONDS)
+        opened = self._caller.generate(self._server, request, deadline, self._should_abort)
         if opened.is_error():
-            self._break_off(opened.error)
+            self._fail(opened.error)
             return None
         if isinstance(opened.ok, servers.CallAnswer):
-            return self._judge_answer(opened.ok)
+            return self._handle_answer(opened.ok)
         return self._read_stream(opened.ok)
 
     def leave_queue(self) -> None:
@@ -194,7 +194,7 @@
             self._router.remove_queued(self._server.server_id)
             self._on_dequeued()
 
-    def rate(self, seconds: float) -> tuple[router.RouteOutcome, float]:
+    def compute_rating(self, seconds: float) -> tuple[router.RouteOutcome, float]:
         """Return what the attempt says of its server, and its milliseconds for each event."""
         milliseconds = seconds * 1000
         if self.was_refused:
@@ -206,7 +206,7 @@
             return router.RouteOutcome.FAILED, milliseconds
         return router.RouteOutcome.OK, milliseconds
 
-    def read_end(
+    def classify_end(
         self, ended: steps.Sample | submission.ItemResult | None
     ) -> crash_guard.AttemptEnd:
         """Tell how the attempt ended; only a whole text shows that its server survives it."""
@@ -240,7 +240,7 @@
             read = stream.read_event()
             if read.is_error():
                 stream.close()
-                self._break_off(read.error)
+                self._fail(read.error)
                 return None
             if read.ok.is_end:
                 sample = self._run.finish(self._item)
@@ -256,7 +256,7 @@
                 self.leave_queue()
             self._events += 1
             self._report_rate(now)
-            self._run.note_event(self._item, read.ok.text, read.ok.version)
+            self._run.record_event(self._item, read.ok.text, read.ok.version)
             if self._run.is_cancelled(self._item):
                 stream.close()
                 self._was_cancelled = True
@@ -271,55 +271,57 @@
         Reported only at the end, a server that turns slow would look fast for as long as its
         texts run, and others would move there.
         """
-        if self._events > 1 and (self._events - 1) % _RATED_EVENTS == 0:
-            milliseconds = (now - self._rated_at) * 1000 / _RATED_EVENTS
+        if self._events > 1 and (self._events - 1) % _EVENTS_PER_RATE_REPORT == 0:
+            milliseconds = (now - self._rated_at) * 1000 / _EVENTS_PER_RATE_REPORT
             self._router.record_rate(self._server.server_id, milliseconds)
             self._rated_at = now
 
-    def _is_unwanted(self) -> bool:
+    def _should_abort(self) -> bool:
         if self._run.is_cancelled(self._item):
             self._was_cancelled = True
             return True
-        return clock.read_now() - self._heard_at > _SILENCE_SECONDS
+        return clock.read_now() - self._heard_at > _SILENCE_TIMEOUT_SECONDS
 
-    def _break_off(self, failure: servers.CallFailure) -> None:
+    def _fail(self, failure: servers.CallFailure) -> None:
         self.reason = failure.detail[:80]
         self.server_ended = failure.server_ended
         self.was_sent = failure.was_sent
         self._run.fail(self._item)
 
-    def _judge_answer(self, answer: servers.CallAnswer) -> submission.ItemResult | None:
+    def _handle_answer(self, answer: servers.CallAnswer) -> submission.ItemResult | None:
         self.was_answered = True
         self.reason = f"status-{answer.status}"
         if answer.did_not_run or answer.is_other_server:
             self.was_refused = True
-            self._run.put_back(self._item)
+            self._run.requeue(self._item)
             return None
         self._run.fail(self._item)
-        if answer.status == _BAD_ITEM:
-            return _lose(self._item.item)
+        if answer.status == _UNPROCESSABLE_STATUS:
+            return _build_lost_result(self._item.item)
         self.was_error = answer.status == servers.FAILED_STATUS
         return None
 
 
-def _choose_pause(outcome: call_outcomes.CallOutcome) -> float:
+def _compute_pause(outcome: call_outcomes.CallOutcome) -> float:
     """Return how long to wait before a scoring is asked for again."""
     if isinstance(outcome, call_outcomes.Refused) and outcome.reason == call_outcomes.QUARANTINED:
-        return _QUARANTINE_LOOK_SECONDS
-    return _SCORING_AGAIN_SECONDS
+        return _QUARANTINE_POLL_SECONDS
+    return _SCORING_RETRY_SECONDS
 
 
-def _complete(item: submission.Item, sample: steps.Sample, score: str) -> submission.ItemResult:
+def _build_done_result(
+    item: submission.Item, sample: steps.Sample, score: str
+) -> submission.ItemResult:
     versions = tuple(sorted({part.version for part in sample.label}))
     state = submission.ResultState.DONE
     return submission.ItemResult(item.item_id, state, sample.text, versions, score)
 
 
-def _lose(item: submission.Item) -> submission.ItemResult:
+def _build_lost_result(item: submission.Item) -> submission.ItemResult:
     return submission.ItemResult(item.item_id, submission.ResultState.LOST, "", (), "")
 
 
-def _note_attempt(
+def _log_attempt(
     item: batch_run.ItemWork, server: servers.Server, outcome: _ItemAttempt, seconds: float
 ) -> None:
     metrics.count(metrics.ITEMS_STARTED)
--- a/programs/oleanderdeal/oleanderdeal/item_texts.py
+++ b/programs/oleanderdeal/oleanderdeal/item_texts.py
@@ -5,7 +5,7 @@
 
 from oleander_batches import submission
 
-_MOST_TEXTS = 256
+_MAX_TEXTS = 256
 """Past this the text kept first is forgotten and made again if asked for."""
 
 
@@ -16,7 +16,7 @@
     organisation: str
     item_id: str
     model: str
-    start: submission.PartialText | None
+    partial: submission.PartialText | None
     result: submission.ItemResult | None
 
 
@@ -32,14 +32,14 @@
         self._lock = threading.Lock()
         self._texts: dict[tuple[str, str], KnownText] = {}
 
-    def keep(self, texts: list[KnownText]) -> None:
+    def add(self, texts: list[KnownText]) -> None:
         """Take in texts."""
         with self._lock:
             for text in texts:
                 key = (text.organisation, text.item_id)
                 self._texts.pop(key, None)
                 self._texts[key] = text
-            while len(self._texts) > _MOST_TEXTS:
+            while len(self._texts) > _MAX_TEXTS:
                 self._texts.pop(next(iter(self._texts)))
 
     def find(self, organisation: str, item_id: str, model: str) -> KnownText | None:
--- a/programs/oleanderdeal/oleanderdeal/lost_answers.py
+++ b/programs/oleanderdeal/oleanderdeal/lost_answers.py
@@ -3,8 +3,8 @@
 import collections
 import threading
 
-_MOST_KEYS = 1000
-_AWAITED_SECONDS = 5.0
+_MAX_KEYS = 1000
+_REDIAL_SECONDS = 5.0
 """An entry that lost its link has dialled again and asked within so long."""
 
 
@@ -20,12 +20,12 @@
         self._lock = threading.Lock()
         self._lost_at: collections.OrderedDict[tuple[str, str], float] = collections.OrderedDict()
 
-    def note(self, customer: str, key: str, now: float) -> None:
+    def record(self, customer: str, key: str, now: float) -> None:
         """Remember a key whose answer was not sent."""
         with self._lock:
             self._lost_at[customer, key] = now
             self._lost_at.move_to_end((customer, key))
-            while len(self._lost_at) > _MOST_KEYS:
+            while len(self._lost_at) > _MAX_KEYS:
                 self._lost_at.popitem(last=False)
 
     def forget(self, customer: str, key: str) -> None:
@@ -37,4 +37,4 @@
         """Tell whether somebody may still come for an answer."""
         with self._lock:
             newest = next(reversed(self._lost_at.values()), None)
-        return newest is not None and now - newest < _AWAITED_SECONDS
+        return newest is not None and now - newest < _REDIAL_SECONDS
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -239,7 +239,7 @@
 
     def _answer_once(self, asked: messages.Run | messages.Join, answer: messages.Answer) -> None:
         if not self._answer(asked.request_id, answer):
-            self._lost.note(asked.customer, asked.key, clock.read_now())
+            self._lost.record(asked.customer, asked.key, clock.read_now())
 
     def _answer(self, request_id: str, answer: messages.Answer) -> bool:
         sent = self._link.send(
