--- a/features/steps/gates_steps.py
+++ b/features/steps/gates_steps.py
@@ -10,13 +10,13 @@
     "{interactive:d} interactive, {background:d} background and {pulls:d} pulls"
 )
 def step_hold_gates(context, threads, critical, interactive, background, pulls):
-    context.gates = gates.ThreadGates(threads)
+    context.gates = gates.ThreadLimits(threads)
     held = (critical, interactive, background, pulls)
     for gate, count in zip(gates.Gate, held, strict=True):
         for _ in range(count):
-            assert context.gates.take(gate), gate
+            assert context.gates.try_acquire(gate), gate
 
 
 @behave.then("the entry's gates {answer} one more {asked}")
 def step_check_gates(context, answer, asked):
-    assert context.gates.take(gates.Gate(asked)) == (answer == "admit")
+    assert context.gates.try_acquire(gates.Gate(asked)) == (answer == "admit")
--- a/features/steps/tickets_steps.py
+++ b/features/steps/tickets_steps.py
@@ -17,12 +17,12 @@
 @behave.given('a ticket for operation "{operation}" of "{customer}" at "{address}"')
 def issue_ticket(context, operation, customer, address):
     context.ticket = tickets.Ticket(3, "0123456789abcdef", address, "desk-a")
-    context.key = tickets.TicketOffice("secret").issue(customer, operation, context.ticket)
+    context.key = tickets.TicketSigner("secret").issue(customer, operation, context.ticket)
 
 
 @behave.when("the ticket is read for {operation} of {customer} after {change}")
 def read_ticket(context, operation, customer, change):
-    office = tickets.TicketOffice("other" if change == "another token" else "secret")
+    office = tickets.TicketSigner("other" if change == "another token" else "secret")
     context.read = office.read(customer, operation, _CHANGES[change](context.key))
 
 
--- a/programs/oleanderdeal/oleanderdeal/budgets.py
+++ b/programs/oleanderdeal/oleanderdeal/budgets.py
@@ -2,9 +2,9 @@
 
 from oleander_base import clock
 
-_WAY_BACK_PART = 20
+_RETURN_DIVISOR = 20
 """One part in so many of the time left is kept for the answer's way back."""
-_MOST_WAY_BACK_MS = 100
+_MAX_RETURN_MS = 100
 
 
 def compute_budget_ms(deadline: clock.Deadline) -> int:
@@ -16,4 +16,4 @@
     "unknown" of what never ran. Too small a part only brings that back now and then.
     """
     remaining_ms = deadline.remaining_ms
-    return remaining_ms - min(_MOST_WAY_BACK_MS, remaining_ms // _WAY_BACK_PART)
+    return remaining_ms - min(_MAX_RETURN_MS, remaining_ms // _RETURN_DIVISOR)
--- a/programs/oleanderdeal/oleanderdeal/caller_api.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_api.py
@@ -11,9 +11,9 @@
 from oleander_contracts import fold
 from oleander_wire import messages
 from oleanderdeal import (
-    accounts,
     caller_requests,
     callers,
+    customer_metrics,
     dispatch,
     gates,
     http_messages,
@@ -35,13 +35,13 @@
         self,
         configuration: fold.ConfigurationFold,
         dispatcher: dispatch.Dispatcher,
-        once_dispatcher: ticket_dispatch.TicketDispatcher,
-        threads: gates.ThreadGates,
+        ticket_dispatcher: ticket_dispatch.TicketDispatcher,
+        thread_limits: gates.ThreadLimits,
     ) -> None:
         self._configuration = configuration
         self._dispatcher = dispatcher
-        self._once = once_dispatcher
-        self._threads = threads
+        self._ticket_dispatcher = ticket_dispatcher
+        self._thread_limits = thread_limits
 
     def handle(
         self, request: http_messages.HttpRequest, customer: str, operation_name: str
@@ -51,24 +51,24 @@
         terms = self._configuration.find_contract(customer)
         operation = terms.find_operation(operation_name) if terms else None
         if terms is None or operation is None:
-            return _answer_missing()
+            return _build_not_found()
         read = caller_requests.read_caller_request(request, terms, operation)
         if read.is_error():
             return http_messages.answer_findings(read.error)
         gate = gates.find_gate(operation.priority)
-        if not self._threads.take(gate):
-            answer = callers.refuse("entry-busy", gates.RETRY_AFTER_MS)
+        if not self._thread_limits.try_acquire(gate):
+            answer = callers.build_refusal("entry-busy", gates.RETRY_AFTER_MS)
             if not operation.repeatable:
-                answer = self._once.refuse(read.ok, answer)
-            accounts.count_answer(read.ok, answer)
-            return _write_answer(read.ok, answer)
+                answer = self._ticket_dispatcher.refuse(read.ok, answer)
+            customer_metrics.count_answer(read.ok, answer)
+            return _build_http_answer(read.ok, answer)
         if read.ok.is_streamed:
             return self._stream(read.ok, request.is_gone, gate)
         started_at = clock.read_now()
         try:
             return self._run(read.ok, request.is_gone)
         finally:
-            self._threads.give_back(gate)
+            self._thread_limits.release(gate)
             metrics.record_timing(metrics.REQUEST_MS, (clock.read_now() - started_at) * 1000)
 
     def issue_key(self, customer: str, operation_name: str) -> http_messages.HttpAnswer:
@@ -76,24 +76,24 @@
         terms = self._configuration.find_contract(customer)
         operation = terms.find_operation(operation_name) if terms else None
         if operation is None or operation.repeatable:
-            return _answer_missing()
-        issued = self._once.issue(customer, operation)
+            return _build_not_found()
+        issued = self._ticket_dispatcher.issue(customer, operation)
         if issued.is_error():
-            return _write_problem(issued.error)
+            return _build_http_problem(issued.error)
         return http_messages.answer_json({"key": issued.ok})
 
     def _run(
         self, request: callers.CallerRequest, is_gone: collections.abc.Callable[[], bool]
     ) -> http_messages.HttpAnswer:
         if not request.operation.repeatable:
-            answer = self._once.run(request)
-            accounts.count_answer(request, answer)
-            return _write_answer(request, answer)
+            answer = self._ticket_dispatcher.run(request)
+            customer_metrics.count_answer(request, answer)
+            return _build_http_answer(request, answer)
         observer = GenerationObserver(is_gone)
-        ended = self._dispatcher.run(_write_job(request), request.deadline, observer)
-        answer = _read_answer(request, ended.answer, observer)
-        accounts.count_answer(request, answer)
-        return _write_answer(request, answer)
+        ended = self._dispatcher.run(_build_job(request), request.deadline, observer)
+        answer = _build_answer(request, ended.answer, observer)
+        customer_metrics.count_answer(request, answer)
+        return _build_http_answer(request, answer)
 
     def _stream(
         self,
@@ -103,30 +103,30 @@
     ) -> http_messages.HttpAnswer:
         """Answer line by line, once there is a first line; until then a refusal is possible."""
         observer = GenerationObserver(is_gone)
-        events = self._hold_gate(
-            gate, self._dispatcher.follow(_write_job(request), request.deadline, observer)
+        events = self._release_gate_after(
+            gate, self._dispatcher.stream(_build_job(request), request.deadline, observer)
         )
         first = next(events)
-        if isinstance(first, dispatch.Ended):
+        if isinstance(first, dispatch.JobResult):
             events.close()
-            answer = _read_answer(request, first.answer, observer)
-            accounts.count_answer(request, answer)
-            return _write_answer(request, answer)
+            answer = _build_answer(request, first.answer, observer)
+            customer_metrics.count_answer(request, answer)
+            return _build_http_answer(request, answer)
         lines = _write_lines(request, observer, first, events)
         headers = (("Trace-Id", request.trace_id),)
         return http_messages.HttpAnswer(200, http_messages.LINES_TYPE, lines, headers)
 
-    def _hold_gate(
+    def _release_gate_after(
         self, gate: gates.Gate, events: collections.abc.Iterator[dispatch.JobEvent]
     ) -> _JobEvents:
         """Yield a job's events; its place is given back when they end or nobody reads on."""
         try:
             yield from events
         finally:
-            self._threads.give_back(gate)
+            self._thread_limits.release(gate)
 
 
-class GenerationObserver(dispatch.Observer):
+class GenerationObserver(dispatch.JobObserver):
     """Gathers a generation's text and the weight versions that made it."""
 
     def __init__(self, is_gone: collections.abc.Callable[[], bool]) -> None:
@@ -144,7 +144,7 @@
         """The versions so far, neighbours of one version merged."""
         return tuple(self._label)
 
-    def see_tokens(self, tokens: messages.Tokens) -> None:
+    def on_tokens(self, tokens: messages.Tokens) -> None:
         """Add the next tokens."""
         self._texts.append(tokens.text)
         if tokens.version is None or tokens.tokens == 0:
@@ -167,7 +167,7 @@
         return self._is_gone()
 
 
-def _write_job(request: callers.CallerRequest) -> dispatch.Job:
+def _build_job(request: callers.CallerRequest) -> dispatch.Job:
     return dispatch.Job(
         customer=request.customer,
         share_percent=request.terms.share_percent,
@@ -182,10 +182,10 @@
     )
 
 
-def _read_answer(
+def _build_answer(
     request: callers.CallerRequest, answer: messages.Answer, observer: GenerationObserver
 ) -> callers.CallerAnswer:
-    passed = callers.pass_on(answer)
+    passed = callers.convert_answer(answer)
     if request.generation is None or passed.outcome is not messages.Outcome.DONE:
         return passed
     body = json.dumps({"text": observer.text, "label": _write_label(observer.label)}).encode()
@@ -218,8 +218,8 @@
                 {"text": event.text, "tokens": event.tokens, "version": event.version}
             )
             continue
-        answer = _read_answer(request, event.answer, observer)
-        accounts.count_answer(request, answer)
+        answer = _build_answer(request, event.answer, observer)
+        customer_metrics.count_answer(request, answer)
         last: dict[str, typing.Any] = {
             "outcome": answer.outcome.value,
             "label": _write_label(observer.label),
@@ -233,7 +233,7 @@
     return json.dumps(content).encode() + b"\n"
 
 
-def _write_answer(
+def _build_http_answer(
     request: callers.CallerRequest, answer: callers.CallerAnswer
 ) -> http_messages.HttpAnswer:
     trace = (("Trace-Id", request.trace_id),)
@@ -241,11 +241,11 @@
         return http_messages.HttpAnswer(
             answer.status, http_messages.JSON_TYPE, [answer.body], trace
         )
-    problem = _write_problem(answer)
+    problem = _build_http_problem(answer)
     return dataclasses.replace(problem, headers=problem.headers + trace)
 
 
-def _write_problem(answer: callers.CallerAnswer) -> http_messages.HttpAnswer:
+def _build_http_problem(answer: callers.CallerAnswer) -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
         http_messages.Problem(
             answer.status,
@@ -257,7 +257,7 @@
     )
 
 
-def _answer_missing() -> http_messages.HttpAnswer:
+def _build_not_found() -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
         http_messages.Problem(
             404, "No such customer or operation.", "not-run", "no-such-operation"
--- a/programs/oleanderdeal/oleanderdeal/caller_requests.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_requests.py
@@ -11,11 +11,11 @@
 from oleander_wire import messages
 from oleanderdeal import callers, http_messages
 
-MOST_BODY_BYTES = 1024 * 1024
-MOST_TOKENS = 131072
-_KEY = re.compile(r"[!-~]{1,200}")
-_TRACE = re.compile(r"[!-~]{1,100}")
-_NUMBER = re.compile(r"[0-9]{1,9}")
+MAX_BODY_BYTES = 1024 * 1024
+MAX_TOKENS = 131072
+_KEY_PATTERN = re.compile(r"[!-~]{1,200}")
+_TRACE_ID_PATTERN = re.compile(r"[!-~]{1,100}")
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
 _NO_OLDEST_VERSION = -1
 
 
@@ -25,11 +25,11 @@
     """Return the checked request, or all that is wrong with it."""
     found: list[findings.Finding] = []
     key = _read_key(request, operation, found)
-    trace_id = _read_trace(request, found)
+    trace_id = _read_trace_id(request, found)
     timeout_ms = _read_timeout(request, operation, found)
-    if len(request.body) > MOST_BODY_BYTES:
-        found.append(findings.Finding("body", f"is larger than {MOST_BODY_BYTES} bytes"))
-    prompt = _read_prompt(request.body, found) if operation.generates else None
+    if len(request.body) > MAX_BODY_BYTES:
+        found.append(findings.Finding("body", f"is larger than {MAX_BODY_BYTES} bytes"))
+    prompt = _read_generation_body(request.body, found) if operation.generates else None
     if found:
         return expression.Error(findings.Findings(tuple(found)))
     return expression.Ok(
@@ -62,16 +62,16 @@
                 "operations that may not be repeated need one",
             )
         )
-    elif key and not _KEY.fullmatch(key):
+    elif key and not _KEY_PATTERN.fullmatch(key):
         found.append(
             findings.Finding("header Idempotency-Key", "is not 1 to 200 visible ASCII characters")
         )
     return key
 
 
-def _read_trace(request: http_messages.HttpRequest, found: list[findings.Finding]) -> str:
+def _read_trace_id(request: http_messages.HttpRequest, found: list[findings.Finding]) -> str:
     trace_id = request.find_header("Trace-Id") or identifiers.create_nonce()
-    if not _TRACE.fullmatch(trace_id):
+    if not _TRACE_ID_PATTERN.fullmatch(trace_id):
         found.append(
             findings.Finding("header Trace-Id", "is not 1 to 100 visible ASCII characters")
         )
@@ -86,7 +86,7 @@
     text = request.find_header("Request-Timeout-Ms")
     if not text:
         return operation.timeout_ms
-    if not _NUMBER.fullmatch(text) or int(text) == 0:
+    if not _NUMBER_PATTERN.fullmatch(text) or int(text) == 0:
         found.append(
             findings.Finding("header Request-Timeout-Ms", "is not a whole number above 0")
         )
@@ -94,13 +94,13 @@
     return min(int(text), operation.timeout_ms)
 
 
-class _Prompt(typing.NamedTuple):
+class _GenerationBody(typing.NamedTuple):
     text: bytes
     terms: messages.GenerationTerms
     is_streamed: bool
 
 
-def _read_prompt(body: bytes, found: list[findings.Finding]) -> _Prompt | None:
+def _read_generation_body(body: bytes, found: list[findings.Finding]) -> _GenerationBody | None:
     try:
         content = json.loads(body)
     except ValueError:
@@ -114,12 +114,12 @@
     prefix = _read_field(content, "prefix", str, "", found)
     most = _read_field(content, "max_tokens", int, None, found)
     is_streamed = _read_field(content, "stream", bool, False, found)
-    if isinstance(most, int) and not 1 <= most <= MOST_TOKENS:
-        found.append(findings.Finding("body.max_tokens", f"is not from 1 to {MOST_TOKENS}"))
+    if isinstance(most, int) and not 1 <= most <= MAX_TOKENS:
+        found.append(findings.Finding("body.max_tokens", f"is not from 1 to {MAX_TOKENS}"))
     if len(found) > before:
         return None
     terms = messages.GenerationTerms("", prefix, most, "", 0, _NO_OLDEST_VERSION)
-    return _Prompt(prompt.encode(), terms, is_streamed)
+    return _GenerationBody(prompt.encode(), terms, is_streamed)
 
 
 def _read_field(
--- a/programs/oleanderdeal/oleanderdeal/callers.py
+++ b/programs/oleanderdeal/oleanderdeal/callers.py
@@ -48,45 +48,45 @@
 STATUS_FAILED = 502
 STATUS_REFUSED = 503
 STATUS_UNKNOWN = 504
-_LEAST_RETRY_MS = 100
+_MIN_RETRY_AFTER_MS = 100
 
 
-def refuse(reason: str, retry_after_ms: int) -> CallerAnswer:
+def build_refusal(reason: str, retry_after_ms: int) -> CallerAnswer:
     """Say that the request did not run, and when to come back."""
     return CallerAnswer(
         messages.Outcome.NOT_RUN,
         STATUS_REFUSED,
         reason,
-        max(_LEAST_RETRY_MS, retry_after_ms),
+        max(_MIN_RETRY_AFTER_MS, retry_after_ms),
         b"",
     )
 
 
-def tell_unknown(reason: str, retry_after_ms: int = 0) -> CallerAnswer:
+def build_unknown(reason: str, retry_after_ms: int = 0) -> CallerAnswer:
     """Say that the request may have run, and when asking again may tell."""
     return CallerAnswer(messages.Outcome.UNKNOWN, STATUS_UNKNOWN, reason, retry_after_ms, b"")
 
 
-def tell_failed(reason: str, status: int = STATUS_FAILED, body: bytes = b"") -> CallerAnswer:
+def build_failure(reason: str, status: int = STATUS_FAILED, body: bytes = b"") -> CallerAnswer:
     """Say that the request ran and failed."""
     return CallerAnswer(messages.Outcome.FAILED, status, reason, 0, body)
 
 
-def tell_conflict() -> CallerAnswer:
+def build_conflict() -> CallerAnswer:
     """Say that the key was used before with another body; this request did not run."""
     return CallerAnswer(
         messages.Outcome.NOT_RUN, STATUS_CONFLICT, messages.REASON_OTHER_BODY, 0, b""
     )
 
 
-def pass_on(answer: messages.Answer) -> CallerAnswer:
+def convert_answer(answer: messages.Answer) -> CallerAnswer:
     """Return what a sidecar answered, in the caller's terms."""
     match answer.outcome:
         case messages.Outcome.DONE:
             return CallerAnswer(answer.outcome, answer.status or STATUS_OK, "", 0, answer.body)
         case messages.Outcome.NOT_RUN:
-            return refuse(answer.reason, answer.retry_after_ms)
+            return build_refusal(answer.reason, answer.retry_after_ms)
         case messages.Outcome.FAILED:
-            return tell_failed(answer.reason, body=answer.body)
+            return build_failure(answer.reason, body=answer.body)
         case _:
-            return tell_unknown(answer.reason)
+            return build_unknown(answer.reason)
--- a/programs/oleanderdeal/oleanderdeal/calls.py
+++ b/programs/oleanderdeal/oleanderdeal/calls.py
@@ -7,8 +7,8 @@
 from oleander_base import clock, identifiers
 from oleander_wire import messages
 
-_EVENTS_PER_CALL = 4096
-_SLICE_SECONDS = 0.1
+_MAX_QUEUED_EVENTS = 4096
+_POLL_SECONDS = 0.1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -30,8 +30,8 @@
     def __init__(self, request_id: str, peer: str, is_only_one: bool) -> None:
         self.request_id = request_id
         self.peer = peer
-        self.is_only_one = is_only_one
-        self._events: queue.Queue[CallEvent] = queue.Queue(_EVENTS_PER_CALL)
+        self.is_sole_sender = is_only_one
+        self._events: queue.Queue[CallEvent] = queue.Queue(_MAX_QUEUED_EVENTS)
         self._overflowed = threading.Event()
 
     def put(self, event: CallEvent) -> None:
@@ -54,7 +54,7 @@
 def await_answer(call: Call, deadline: clock.Deadline) -> messages.Answer | None:
     """Return the answer, or nothing when the link broke or time is up."""
     while not deadline.is_past:
-        event = call.wait(deadline.earlier(_SLICE_SECONDS))
+        event = call.wait(deadline.earlier(_POLL_SECONDS))
         if isinstance(event, messages.Answer):
             return event
         if isinstance(event, LinkLost):
--- a/programs/oleanderdeal/oleanderdeal/once.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -18,13 +18,13 @@
 from oleander_wire import messages
 from oleanderdeal import callers, calls, key_inquiry, once_messages, peer_link, peers
 
-_MOST_ATTEMPTS = 4
-_SLICE_SECONDS = 0.1
-_FRESH_SECONDS = 0.3
+_MAX_ATTEMPTS = 4
+_REDIAL_POLL_SECONDS = 0.1
+_CLAIMANT_GRACE_SECONDS = 0.3
 _POLL_SECONDS = 0.02
-_SEALED = "sealed by its sidecar"
-_REFUSED = "refused by its sidecar"
-_NOT_SENT = "never sent by its claimant"
+_SEALED_EVIDENCE = "sealed by its sidecar"
+_REFUSED_EVIDENCE = "refused by its sidecar"
+_NOT_SENT_EVIDENCE = "never sent by its claimant"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -44,22 +44,22 @@
     answer: callers.CallerAnswer
 
 
-_Tried = expression.Result[callers.CallerAnswer, NotRun]
+_AttemptResult = expression.Result[callers.CallerAnswer, NotRun]
 
 
-class OnceDispatcher:
+class ClaimDispatcher:
     """Claims a key, sends its request to the claimed sidecar, or follows an earlier claim."""
 
     def __init__(
-        self, claims: book.ClaimBook, routes: router.Router, links: peers.PeerLinks
+        self, claims: book.ClaimBook, router_: router.Router, links: peers.PeerLinks
     ) -> None:
         self._claims = claims
-        self._routes = routes
+        self._router = router_
         self._links = links
         self._inquiry = key_inquiry.KeyInquiry(claims, links)
 
     def run(
-        self, request: callers.CallerRequest, settled: NotRun | None = None
+        self, request: callers.CallerRequest, last_not_run: NotRun | None = None
     ) -> callers.CallerAnswer:
         """
         Return what became of the request's key; blocks until then or the deadline.
@@ -67,29 +67,29 @@
         Evidence that an earlier attempt never ran, where there is any, is needed for the next.
         """
         excluded: frozenset[str] = frozenset()
-        for _ in range(_MOST_ATTEMPTS):
-            attempt = self._find_or_claim(request, settled, excluded)
+        for _ in range(_MAX_ATTEMPTS):
+            attempt = self._find_or_claim(request, last_not_run, excluded)
             if attempt.is_error():
                 return attempt.error
             claim = attempt.ok.logged.claim
             if claim.digest != request.digest:
-                return callers.tell_conflict()
-            tried = self._try(request, attempt.ok)
+                return callers.build_conflict()
+            tried = self._run_attempt(request, attempt.ok)
             if tried.is_ok():
                 return tried.ok
-            settled = tried.error
-            if settled.evidence != _SEALED:
+            last_not_run = tried.error
+            if last_not_run.evidence != _SEALED_EVIDENCE:
                 excluded |= {claim.sidecar}
             if request.deadline.is_past:
                 # Paused meanwhile, perhaps, while another entry made the next attempt.
-                return self._inquiry.check(request, settled.answer)
-        return settled.answer if settled else callers.refuse("too-late", 0)
+                return self._inquiry.check(request, last_not_run.answer)
+        return last_not_run.answer if last_not_run else callers.build_refusal("too-late", 0)
 
     def refuse(
         self,
         request: callers.CallerRequest,
         refusal: callers.CallerAnswer,
-        settled_attempt: int = 0,
+        not_run_attempt: int = 0,
     ) -> callers.CallerAnswer:
         """
         Return a refusal, or what is known of an earlier try of the same key.
@@ -98,14 +98,14 @@
         Attempts up to the settled one are known not to have run.
         """
         known = self._claims.find(request.customer, request.key)
-        if known is not None and known.claim.attempt > settled_attempt:
-            return callers.tell_unknown(refusal.reason, refusal.retry_after_ms)
+        if known is not None and known.claim.attempt > not_run_attempt:
+            return callers.build_unknown(refusal.reason, refusal.retry_after_ms)
         return self._inquiry.check(request, refusal)
 
     def _find_or_claim(
         self,
         request: callers.CallerRequest,
-        settled: NotRun | None,
+        last_not_run: NotRun | None,
         excluded: frozenset[str],
     ) -> expression.Result[_Attempt, callers.CallerAnswer]:
         """
@@ -115,11 +115,11 @@
         one may be running, so it is followed and not claimed past.
         """
         known = self._claims.find(request.customer, request.key)
-        settled_attempt = settled.attempt if settled is not None else 0
-        if known is not None and known.claim.attempt > settled_attempt:
+        not_run_attempt = last_not_run.attempt if last_not_run is not None else 0
+        if known is not None and known.claim.attempt > not_run_attempt:
             return expression.Ok(_Attempt(known, is_own=False))
-        evidence = settled.evidence if settled is not None else ""
-        return self._claim(request, settled_attempt + 1, evidence, excluded)
+        evidence = last_not_run.evidence if last_not_run is not None else ""
+        return self._claim(request, not_run_attempt + 1, evidence, excluded)
 
     def _claim(
         self,
@@ -129,7 +129,7 @@
         excluded: frozenset[str],
     ) -> expression.Result[_Attempt, callers.CallerAnswer]:
         link = choose_link(
-            self._routes, self._links, request.operation, excluded, request.deadline
+            self._router, self._links, request.operation, excluded, request.deadline
         )
         if link.is_error():
             return expression.Error(self.refuse(request, link.error, number - 1))
@@ -151,33 +151,33 @@
         return expression.Ok(_Attempt(decided.ok, is_own))
 
     def _refuse_claim(
-        self, request: callers.CallerRequest, error: shard.ClaimError, settled_attempt: int
+        self, request: callers.CallerRequest, error: shard.ClaimError, not_run_attempt: int
     ) -> callers.CallerAnswer:
         """
         Answer a caller whose claim was not decided.
 
         Nothing was sent for it, now or later; an earlier try may have been, by another entry.
         """
-        refusal = callers.refuse(error.reason, error.retry_after_ms)
-        return self.refuse(request, refusal, settled_attempt)
+        refusal = callers.build_refusal(error.reason, error.retry_after_ms)
+        return self.refuse(request, refusal, not_run_attempt)
 
-    def _try(self, request: callers.CallerRequest, attempt: _Attempt) -> _Tried:
+    def _run_attempt(self, request: callers.CallerRequest, attempt: _Attempt) -> _AttemptResult:
         """Send the request if the claim is this entry's own, and follow it to its end."""
         claim = attempt.logged.claim
         if not attempt.is_own:
-            self._let_claimant_send(request, attempt.logged)
-            return self._ask(request, attempt.logged)
+            self._wait_for_claimant(request, attempt.logged)
+            return self._ask_sidecar(request, attempt.logged)
         link = self._links.find_or_dial(claim.sidecar, claim.address)
-        is_open = link.await_open(request.deadline.earlier(_SLICE_SECONDS))
+        is_open = link.await_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
         if request.deadline.is_past:
-            return _tell_not_run(claim, _NOT_SENT, "too-late")
+            return _build_not_run(claim, _NOT_SENT_EVIDENCE, "too-late")
         if not is_open:
-            return _tell_not_run(claim, _NOT_SENT, "link-lost")
+            return _build_not_run(claim, _NOT_SENT_EVIDENCE, "link-lost")
         started_at = clock.read_now()
-        self._routes.note_started(claim.sidecar)
+        self._router.note_started(claim.sidecar)
         tried = self._send(request, attempt.logged, link)
         service_ms = (clock.read_now() - started_at) * 1000
-        self._routes.note_finished(claim.sidecar, _judge_route(tried), service_ms)
+        self._router.note_finished(claim.sidecar, _classify_outcome(tried), service_ms)
         return tried
 
     def _send(
@@ -185,7 +185,7 @@
         request: callers.CallerRequest,
         logged: records.LoggedClaim,
         link: peer_link.PeerLink,
-    ) -> _Tried:
+    ) -> _AttemptResult:
         """Send the request; this is the only place that does, and it runs once for a claim."""
         invariants.require(
             not request.operation.repeatable, "once-only", "a repeatable request was claimed"
@@ -193,17 +193,17 @@
         call = link.open_call(calls.create_request_id(), is_only_one=True)
         try:
             if link.send(
-                once_messages.write_run(call.request_id, request, _find_place(logged))
+                once_messages.build_run(call.request_id, request, _locate_attempt(logged))
             ).is_error():
-                return _tell_not_run(logged.claim, _NOT_SENT, "link-lost")
+                return _build_not_run(logged.claim, _NOT_SENT_EVIDENCE, "link-lost")
             answer = calls.await_answer(call, request.deadline)
         finally:
             link.close_call(call)
         if answer is None and not request.deadline.is_past:
-            return self._ask(request, logged)
-        return _judge_answer(answer, logged.claim, _REFUSED)
+            return self._ask_sidecar(request, logged)
+        return _classify_answer(answer, logged.claim, _REFUSED_EVIDENCE)
 
-    def _let_claimant_send(
+    def _wait_for_claimant(
         self, request: callers.CallerRequest, logged: records.LoggedClaim
     ) -> None:
         """
@@ -214,17 +214,19 @@
         another attempt and breaks no promise.
         """
         claim = logged.claim
-        fresh = clock.Deadline(logged.folded_at + _FRESH_SECONDS)
+        fresh = clock.Deadline(logged.folded_at + _CLAIMANT_GRACE_SECONDS)
         while not fresh.is_past and not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
-            call = key_inquiry.ask(link, request)
+            call = key_inquiry.send_find(link, request)
             answer = calls.await_answer(call, fresh)
             link.close_call(call)
             if answer is None or answer.reason != messages.REASON_UNSEEN:
                 return
             time.sleep(_POLL_SECONDS)
 
-    def _ask(self, request: callers.CallerRequest, logged: records.LoggedClaim) -> _Tried:
+    def _ask_sidecar(
+        self, request: callers.CallerRequest, logged: records.LoggedClaim
+    ) -> _AttemptResult:
         """
         Ask the claimed sidecar what became of the key, until it says or time is up.
 
@@ -235,29 +237,29 @@
         while not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
             if link.is_refused and not link.is_open:
-                return expression.Ok(callers.tell_unknown("sidecar-gone"))
+                return expression.Ok(callers.build_unknown("sidecar-gone"))
             call = link.open_call(calls.create_request_id())
             try:
-                sent = link.send(once_messages.write_join(call.request_id, request, logged))
+                sent = link.send(once_messages.build_join(call.request_id, request, logged))
                 answer = calls.await_answer(call, request.deadline) if sent.is_ok() else None
             finally:
                 link.close_call(call)
             if answer is not None:
-                return _judge_answer(answer, logged.claim, _SEALED)
-            link.await_open(request.deadline.earlier(_SLICE_SECONDS))
+                return _classify_answer(answer, logged.claim, _SEALED_EVIDENCE)
+            link.await_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
         log.warn_bounded("claim-unreachable", f"can't ask {claim.sidecar} about its claim")
-        return expression.Ok(callers.tell_unknown("sidecar-unreachable"))
+        return expression.Ok(callers.build_unknown("sidecar-unreachable"))
 
 
 def choose_link(
-    routes: router.Router,
+    router_: router.Router,
     links: peers.PeerLinks,
     operation: contract.Operation,
     excluded: frozenset[str],
     deadline: clock.Deadline,
 ) -> expression.Result[peer_link.PeerLink, callers.CallerAnswer]:
     """Return the link to a sidecar for an operation that may not be repeated."""
-    chosen = routes.choose(
+    chosen = router_.choose(
         router.RouteRequest(
             backend=operation.backend,
             affinity="",
@@ -269,28 +271,32 @@
         )
     )
     if chosen.is_error():
-        return expression.Error(callers.refuse(chosen.error.reason, chosen.error.retry_after_ms))
+        return expression.Error(
+            callers.build_refusal(chosen.error.reason, chosen.error.retry_after_ms)
+        )
     link = links.find(chosen.ok)
     if link is None or not link.incarnation:
-        return expression.Error(callers.refuse("link-lost", 200))
+        return expression.Error(callers.build_refusal("link-lost", 200))
     return expression.Ok(link)
 
 
-def _judge_answer(answer: messages.Answer | None, claim: records.Claim, evidence: str) -> _Tried:
+def _classify_answer(
+    answer: messages.Answer | None, claim: records.Claim, evidence: str
+) -> _AttemptResult:
     if answer is None:
-        return expression.Ok(callers.tell_unknown("too-late"))
+        return expression.Ok(callers.build_unknown("too-late"))
     if answer.outcome is messages.Outcome.NOT_RUN:
-        return expression.Error(NotRun(claim.attempt, evidence, callers.pass_on(answer)))
+        return expression.Error(NotRun(claim.attempt, evidence, callers.convert_answer(answer)))
     if answer.reason == messages.REASON_OTHER_BODY:
-        return expression.Ok(callers.tell_conflict())
-    return expression.Ok(callers.pass_on(answer))
+        return expression.Ok(callers.build_conflict())
+    return expression.Ok(callers.convert_answer(answer))
 
 
-def _tell_not_run(claim: records.Claim, evidence: str, reason: str) -> _Tried:
-    return expression.Error(NotRun(claim.attempt, evidence, callers.refuse(reason, 200)))
+def _build_not_run(claim: records.Claim, evidence: str, reason: str) -> _AttemptResult:
+    return expression.Error(NotRun(claim.attempt, evidence, callers.build_refusal(reason, 200)))
 
 
-def _judge_route(tried: _Tried) -> router.RouteOutcome:
+def _classify_outcome(tried: _AttemptResult) -> router.RouteOutcome:
     if tried.is_error():
         return router.RouteOutcome.REFUSED
     match tried.ok.outcome:
@@ -302,6 +308,8 @@
             return router.RouteOutcome.FAILED
 
 
-def _find_place(logged: records.LoggedClaim) -> once_messages.Place:
+def _locate_attempt(logged: records.LoggedClaim) -> once_messages.AttemptLocation:
     claim = logged.claim
-    return once_messages.Place(claim.incarnation, claim.attempt, logged.shard, logged.offset)
+    return once_messages.AttemptLocation(
+        claim.incarnation, claim.attempt, logged.shard, logged.offset
+    )
--- a/programs/oleanderdeal/oleanderdeal/accounts.py
+++ b/programs/oleanderdeal/oleanderdeal/customer_metrics.py
@@ -30,7 +30,7 @@
             metrics.count(metrics.UNKNOWN)
 
 
-def count_samples(customer: str, trainer: str, what: str, amount: int) -> None:
+def count_samples(customer: str, trainer: str, kind: str, amount: int) -> None:
     """Count what a trainer received: samples delivered, and idle milliseconds of its pulls."""
     if amount:
-        metrics.count(f"customer.{customer}.trainer.{trainer}.{what}", amount)
+        metrics.count(f"customer.{customer}.trainer.{trainer}.{kind}", amount)
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -12,8 +12,8 @@
 from oleanderdeal import budgets, calls, peer_link, peers
 
 NO_CLAIM = -1
-_SLICE_SECONDS = 0.1
-_MOST_ATTEMPTS = 4
+_POLL_SECONDS = 0.1
+_MAX_ATTEMPTS = 4
 _CANCELLED = "cancelled"
 _TOO_LATE = "too-late"
 
@@ -35,20 +35,20 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Ended:
+class JobResult:
     """What became of a job after its last attempt."""
 
     answer: messages.Answer
     peer: str
 
 
-class Observer:
+class JobObserver:
     """Sees a job's tokens as they come, and says when nobody wants them any more."""
 
-    def see_peer(self, name: str) -> None:
+    def on_peer_chosen(self, name: str) -> None:
         """Take the name of the sidecar that the job is given to."""
 
-    def see_tokens(self, tokens: messages.Tokens) -> None:
+    def on_tokens(self, tokens: messages.Tokens) -> None:
         """Take the next tokens."""
 
     def resume(self, terms: messages.GenerationTerms) -> messages.GenerationTerms:
@@ -60,29 +60,29 @@
         return False
 
 
-JobEvent = messages.Tokens | Ended
-_Events = collections.abc.Generator[messages.Tokens, None, messages.Answer]
+JobEvent = messages.Tokens | JobResult
+_AttemptEvents = collections.abc.Generator[messages.Tokens, None, messages.Answer]
 
 
 class Dispatcher:
     """Runs jobs: chooses a backend server, follows the call, and retries within the budget."""
 
     def __init__(
-        self, routes: router.Router, links: peers.PeerLinks, budgets: retries.RetryBudgets
+        self, router_: router.Router, links: peers.PeerLinks, budgets: retries.RetryBudgets
     ) -> None:
-        self._routes = routes
+        self._router = router_
         self._links = links
         self._budgets = budgets
 
-    def run(self, job: Job, deadline: clock.Deadline, observer: Observer) -> Ended:
+    def run(self, job: Job, deadline: clock.Deadline, observer: JobObserver) -> JobResult:
         """Return what became of a job; blocks until then."""
-        for event in self.follow(job, deadline, observer):
-            if isinstance(event, Ended):
+        for event in self.stream(job, deadline, observer):
+            if isinstance(event, JobResult):
                 return event
         raise AssertionError("a job ended without an answer")
 
-    def follow(
-        self, job: Job, deadline: clock.Deadline, observer: Observer
+    def stream(
+        self, job: Job, deadline: clock.Deadline, observer: JobObserver
     ) -> collections.abc.Iterator[JobEvent]:
         """
         Yield a job's tokens as they come, and last what became of it.
@@ -97,21 +97,21 @@
         may_have_run = False
         attempt = 1
         while True:
-            ended = yield from self._try_once(job, attempt, excluded, deadline, observer)
+            ended = yield from self._stream_attempt(job, attempt, excluded, deadline, observer)
             may_have_run = may_have_run or ended.answer.outcome is not messages.Outcome.NOT_RUN
-            if not _is_worth_retrying(ended, deadline, observer):
+            if not _may_retry(ended, deadline, observer):
                 break
-            if not _was_left(ended):
+            if not _was_refused_by_leaving(ended):
                 attempt += 1
-                if attempt > _MOST_ATTEMPTS or not budget.try_take():
+                if attempt > _MAX_ATTEMPTS or not budget.try_take():
                     break
             metrics.count(metrics.RETRIES)
             excluded |= {ended.peer}
-        yield _correct_outcome(ended, may_have_run)
+        yield _apply_earlier_attempts(ended, may_have_run)
 
     def run_once(
-        self, job: Job, deadline: clock.Deadline, observer: Observer, avoided: frozenset[str]
-    ) -> Ended:
+        self, job: Job, deadline: clock.Deadline, observer: JobObserver, avoided: frozenset[str]
+    ) -> JobResult:
         """
         Return what became of a single attempt, for callers that retry by themselves.
 
@@ -123,40 +123,40 @@
         return ended
 
     def _run_attempt(
-        self, job: Job, deadline: clock.Deadline, observer: Observer, avoided: frozenset[str]
-    ) -> Ended:
-        events = self._try_once(job, 1, avoided, deadline, observer)
+        self, job: Job, deadline: clock.Deadline, observer: JobObserver, avoided: frozenset[str]
+    ) -> JobResult:
+        events = self._stream_attempt(job, 1, avoided, deadline, observer)
         while True:
             try:
                 next(events)
             except StopIteration as stop:
-                return typing.cast(Ended, stop.value)
+                return typing.cast(JobResult, stop.value)
 
-    def _try_once(
+    def _stream_attempt(
         self,
         job: Job,
         attempt: int,
         excluded: frozenset[str],
         deadline: clock.Deadline,
-        observer: Observer,
-    ) -> collections.abc.Generator[messages.Tokens, None, Ended]:
-        chosen = self._routes.choose(_describe_route(job, excluded, deadline))
+        observer: JobObserver,
+    ) -> collections.abc.Generator[messages.Tokens, None, JobResult]:
+        chosen = self._router.choose(_build_route_request(job, excluded, deadline))
         if chosen.is_error():
-            return Ended(_refuse(chosen.error.reason, chosen.error.retry_after_ms), "")
+            return JobResult(_build_not_run(chosen.error.reason, chosen.error.retry_after_ms), "")
         link = self._links.find(chosen.ok)
         if link is None:
-            return Ended(_refuse("link-lost", 200), chosen.ok)
+            return JobResult(_build_not_run("link-lost", 200), chosen.ok)
         started_at = clock.read_now()
         outcome = router.RouteOutcome.OK
-        self._routes.note_started(chosen.ok)
-        observer.see_peer(chosen.ok)
+        self._router.note_started(chosen.ok)
+        observer.on_peer_chosen(chosen.ok)
         try:
             answer = yield from self._call(link, job, attempt, deadline, observer)
-            outcome = _judge_route(answer, observer)
+            outcome = _classify_outcome(answer, observer)
         finally:
             service_ms = (clock.read_now() - started_at) * 1000
-            self._routes.note_finished(chosen.ok, outcome, service_ms)
-        return Ended(answer, chosen.ok)
+            self._router.note_finished(chosen.ok, outcome, service_ms)
+        return JobResult(answer, chosen.ok)
 
     def _call(
         self,
@@ -164,66 +164,66 @@
         job: Job,
         attempt: int,
         deadline: clock.Deadline,
-        observer: Observer,
-    ) -> _Events:
+        observer: JobObserver,
+    ) -> _AttemptEvents:
         call = link.open_call(calls.create_request_id(), is_only_one=True)
         is_ended = False
         try:
-            run = _write_run(call.request_id, link.incarnation, job, attempt, deadline, observer)
+            run = _build_run(call.request_id, link.incarnation, job, attempt, deadline, observer)
             if link.send(run).is_error():
                 is_ended = True
-                return _refuse("link-lost", 200)
-            answer = yield from _follow_call(call, deadline, observer)
+                return _build_not_run("link-lost", 200)
+            answer = yield from _stream_call(call, deadline, observer)
             is_ended = answer is not None
-            return answer or _give_up(deadline)
+            return answer or _build_unfinished(deadline)
         finally:
             link.close_call(call)
             if not is_ended:
                 link.send(messages.Cancel(call.request_id))
 
 
-def _follow_call(
-    call: calls.Call, deadline: clock.Deadline, observer: Observer
+def _stream_call(
+    call: calls.Call, deadline: clock.Deadline, observer: JobObserver
 ) -> collections.abc.Generator[messages.Tokens, None, messages.Answer | None]:
     """Yield tokens until the answer; return nothing when nobody waits for it any more."""
     while not deadline.is_past and not observer.is_gone():
-        event = call.wait(deadline.earlier(_SLICE_SECONDS))
+        event = call.wait(deadline.earlier(_POLL_SECONDS))
         match event:
             case messages.Tokens():
-                observer.see_tokens(event)
+                observer.on_tokens(event)
                 yield event
             case messages.Answer():
                 return event
             case calls.LinkLost():
-                return _tell_unknown("link-lost")
+                return _build_unknown("link-lost")
     return None
 
 
-def _give_up(deadline: clock.Deadline) -> messages.Answer:
-    return _tell_unknown(_TOO_LATE if deadline.is_past else _CANCELLED)
+def _build_unfinished(deadline: clock.Deadline) -> messages.Answer:
+    return _build_unknown(_TOO_LATE if deadline.is_past else _CANCELLED)
 
 
-def _is_worth_retrying(ended: Ended, deadline: clock.Deadline, observer: Observer) -> bool:
+def _may_retry(ended: JobResult, deadline: clock.Deadline, observer: JobObserver) -> bool:
     if ended.answer.outcome is messages.Outcome.DONE or not ended.peer:
         return False
     return not deadline.is_past and not observer.is_gone()
 
 
-def _was_left(ended: Ended) -> bool:
+def _was_refused_by_leaving(ended: JobResult) -> bool:
     answer = ended.answer
     is_refusal = answer.outcome is messages.Outcome.NOT_RUN
     return is_refusal and answer.reason == admission_work.LEAVING
 
 
-def _correct_outcome(ended: Ended, may_have_run: bool) -> Ended:
+def _apply_earlier_attempts(ended: JobResult, may_have_run: bool) -> JobResult:
     """Say "unknown" when the last attempt did not run but an earlier one may have."""
     answer = ended.answer
     if answer.outcome is not messages.Outcome.NOT_RUN or not may_have_run:
         return ended
-    return Ended(_tell_unknown(answer.reason), ended.peer)
+    return JobResult(_build_unknown(answer.reason), ended.peer)
 
 
-def _describe_route(
+def _build_route_request(
     job: Job, excluded: frozenset[str], deadline: clock.Deadline
 ) -> router.RouteRequest:
     terms = job.generation
@@ -237,7 +237,7 @@
     )
 
 
-def _judge_route(answer: messages.Answer, observer: Observer) -> router.RouteOutcome:
+def _classify_outcome(answer: messages.Answer, observer: JobObserver) -> router.RouteOutcome:
     if answer.outcome is messages.Outcome.DONE or observer.is_gone():
         return router.RouteOutcome.OK
     if answer.outcome is messages.Outcome.NOT_RUN or answer.reason == _CANCELLED:
@@ -247,13 +247,13 @@
     return router.RouteOutcome.FAILED
 
 
-def _write_run(
+def _build_run(
     request_id: str,
     incarnation: str,
     job: Job,
     attempt: int,
     deadline: clock.Deadline,
-    observer: Observer,
+    observer: JobObserver,
 ) -> messages.Run:
     terms = observer.resume(job.generation) if job.generation else None
     return messages.Run(
@@ -276,9 +276,9 @@
     )
 
 
-def _refuse(reason: str, retry_after_ms: int) -> messages.Answer:
+def _build_not_run(reason: str, retry_after_ms: int) -> messages.Answer:
     return messages.Answer("", messages.Outcome.NOT_RUN, 0, reason, retry_after_ms, b"", 0)
 
 
-def _tell_unknown(reason: str) -> messages.Answer:
+def _build_unknown(reason: str) -> messages.Answer:
     return messages.Answer("", messages.Outcome.UNKNOWN, 0, reason, 0, b"", 0)
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -12,6 +12,7 @@
 from oleanderdeal import (
     access,
     caller_api,
+    claim_dispatch,
     configuration,
     dispatch,
     entry_handler,
@@ -19,7 +20,6 @@
     hosts,
     http_server,
     lifecycle,
-    once,
     peer_link,
     peer_records,
     peers,
@@ -88,7 +88,7 @@
         self._snapshots = snapshots.SnapshotWriter(
             log_service, self._in_force, self._group, chosen.snapshot_interval_ms
         )
-        threads = gates.ThreadGates(chosen.http_threads)
+        threads = gates.ThreadLimits(chosen.http_threads)
         handler = entry_handler.EntryHandler(
             tokens=access.AccessTable(chosen.customer_tokens),
             callers=caller_api.CallerApi(
@@ -132,11 +132,11 @@
 
     def _create_once_dispatcher(self) -> ticket_dispatch.TicketDispatcher:
         return ticket_dispatch.TicketDispatcher(
-            tickets.TicketOffice(self._chosen.process_token),
+            tickets.TicketSigner(self._chosen.process_token),
             self._claims,
             self._routes,
             self._links,
-            once.OnceDispatcher(self._claims, self._routes, self._links),
+            claim_dispatch.ClaimDispatcher(self._claims, self._routes, self._links),
         )
 
     def _create_link(self, host: hostlist.Host, is_routed: bool) -> peer_link.PeerLink:
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -27,17 +27,17 @@
 
 
 RETRY_AFTER_MS = 500
-_ALL_PART = 0.9
+_TOTAL_SHARE = 0.9
 """The part of the pool that all classes may hold together; the rest refuses."""
-_OTHERS_PART = 0.6
+_NON_CRITICAL_SHARE = 0.6
 """The part that all classes but the critical one may hold together."""
-_PARTS = {
-    Gate.CRITICAL: _ALL_PART,
-    Gate.INTERACTIVE: _OTHERS_PART,
+_SHARES = {
+    Gate.CRITICAL: _TOTAL_SHARE,
+    Gate.INTERACTIVE: _NON_CRITICAL_SHARE,
     Gate.BACKGROUND: 0.3,
     Gate.PULL: 0.3,
 }
-_GATES = {
+_GATES_BY_PRIORITY = {
     contract.Priority.CRITICAL: Gate.CRITICAL,
     contract.Priority.INTERACTIVE: Gate.INTERACTIVE,
 }
@@ -45,39 +45,41 @@
 
 def find_gate(priority: contract.Priority) -> Gate:
     """Return the gate of a priority class."""
-    return _GATES.get(priority, Gate.BACKGROUND)
+    return _GATES_BY_PRIORITY.get(priority, Gate.BACKGROUND)
 
 
-class ThreadGates:
+class ThreadLimits:
     """Counts the threads that each class holds."""
 
     def __init__(self, threads: int) -> None:
-        self._most = {gate: _compute_part(threads, part) for gate, part in _PARTS.items()}
-        self._most_others = _compute_part(threads, _OTHERS_PART)
-        self._most_all = _compute_part(threads, _ALL_PART)
+        self._max_per_gate = {
+            gate: _compute_limit(threads, part) for gate, part in _SHARES.items()
+        }
+        self._max_non_critical = _compute_limit(threads, _NON_CRITICAL_SHARE)
+        self._max_total = _compute_limit(threads, _TOTAL_SHARE)
         self._held = dict.fromkeys(Gate, 0)
         self._lock = threading.Lock()
 
-    def take(self, gate: Gate) -> bool:
+    def try_acquire(self, gate: Gate) -> bool:
         """Take a place, to be given back; return whether there was one."""
         with self._lock:
-            if not self._has_place(gate):
+            if not self._has_free_thread(gate):
                 return False
             self._held[gate] += 1
             return True
 
-    def give_back(self, gate: Gate) -> None:
+    def release(self, gate: Gate) -> None:
         """Give a taken place back."""
         with self._lock:
             self._held[gate] -= 1
 
-    def _has_place(self, gate: Gate) -> bool:
+    def _has_free_thread(self, gate: Gate) -> bool:
         held = sum(self._held.values())
         others = held - self._held[Gate.CRITICAL]
-        if held >= self._most_all or self._held[gate] >= self._most[gate]:
+        if held >= self._max_total or self._held[gate] >= self._max_per_gate[gate]:
             return False
-        return gate is Gate.CRITICAL or others < self._most_others
+        return gate is Gate.CRITICAL or others < self._max_non_critical
 
 
-def _compute_part(threads: int, part: float) -> int:
+def _compute_limit(threads: int, part: float) -> int:
     return max(1, int(threads * part))
--- a/programs/oleanderdeal/oleanderdeal/key_inquiry.py
+++ b/programs/oleanderdeal/oleanderdeal/key_inquiry.py
@@ -10,8 +10,8 @@
 from oleander_wire import messages
 from oleanderdeal import callers, calls, peer_link, peers
 
-_ASK_SECONDS = 0.5
-_RETRY_MS = 500
+_ASK_TIMEOUT_SECONDS = 0.5
+_RETRY_AFTER_MS = 500
 REASON_UNSURE = "can't tell whether an earlier try ran"
 
 
@@ -33,21 +33,21 @@
         self, request: callers.CallerRequest, refusal: callers.CallerAnswer
     ) -> callers.CallerAnswer:
         """Return the refusal, or what is known of an earlier try of the same key."""
-        answers = self._ask_all(request)
+        answers = self._ask_sidecars(request)
         for answer in answers:
             if answer is not None and answer.outcome is not messages.Outcome.NOT_RUN:
-                return _pass_on(answer)
+                return _convert_answer(answer)
         read_at = self._claims.find_read_time(request.customer, request.key)
         is_sure = self._links.covers_all and None not in answers
         if not is_sure or self._links.lost_at >= read_at:
-            return callers.tell_unknown(REASON_UNSURE, _RETRY_MS)
+            return callers.build_unknown(REASON_UNSURE, _RETRY_AFTER_MS)
         return refusal
 
-    def _ask_all(self, request: callers.CallerRequest) -> list[messages.Answer | None]:
+    def _ask_sidecars(self, request: callers.CallerRequest) -> list[messages.Answer | None]:
         """Return each sidecar's answer, nothing from one that gave none."""
-        deadline = clock.start_deadline(_ASK_SECONDS)
+        deadline = clock.start_deadline(_ASK_TIMEOUT_SECONDS)
         asked = [
-            (link, ask(link, request))
+            (link, send_find(link, request))
             for link in self._links.list_routed(request.operation.backend)
         ]
         answers = []
@@ -57,7 +57,7 @@
         return answers
 
 
-def ask(link: peer_link.PeerLink, request: callers.CallerRequest) -> calls.Call:
+def send_find(link: peer_link.PeerLink, request: callers.CallerRequest) -> calls.Call:
     """Ask one sidecar what it knows of a key; the call is to be closed."""
     call = link.open_call(calls.create_request_id())
     find = messages.Find(call.request_id, request.customer, request.key, request.digest)
@@ -66,10 +66,10 @@
     return call
 
 
-def _pass_on(answer: messages.Answer) -> callers.CallerAnswer:
+def _convert_answer(answer: messages.Answer) -> callers.CallerAnswer:
     if answer.reason == messages.REASON_OTHER_BODY:
-        return callers.tell_conflict()
-    passed = callers.pass_on(answer)
+        return callers.build_conflict()
+    passed = callers.convert_answer(answer)
     if passed.outcome is messages.Outcome.UNKNOWN:
-        return callers.tell_unknown(passed.reason, _RETRY_MS)
+        return callers.build_unknown(passed.reason, _RETRY_AFTER_MS)
     return passed
--- a/programs/oleanderdeal/oleanderdeal/once_messages.py
+++ b/programs/oleanderdeal/oleanderdeal/once_messages.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
+class AttemptLocation:
     """Which sidecar run may start an attempt, and where that stands."""
 
     incarnation: str
@@ -17,7 +17,9 @@
     offset: int
 
 
-def write_run(request_id: str, request: callers.CallerRequest, place: Place) -> messages.Run:
+def build_run(
+    request_id: str, request: callers.CallerRequest, place: AttemptLocation
+) -> messages.Run:
     """Return the message that starts an attempt at its sidecar."""
     return messages.Run(
         request_id=request_id,
@@ -39,7 +41,7 @@
     )
 
 
-def write_join(
+def build_join(
     request_id: str, request: callers.CallerRequest, logged: records.LoggedClaim
 ) -> messages.Join:
     """Return the message that asks the claimed sidecar what became of the request."""
--- a/programs/oleanderdeal/oleanderdeal/peer_link.py
+++ b/programs/oleanderdeal/oleanderdeal/peer_link.py
@@ -279,5 +279,5 @@
             self._link = None
             open_calls = list(self._calls.values())
         for call in open_calls:
-            call.put(_REFUSED if said_goodbye and call.is_only_one else calls.LinkLost())
+            call.put(_REFUSED if said_goodbye and call.is_sole_sender else calls.LinkLost())
         opened.abort()
--- a/programs/oleanderdeal/oleanderdeal/sampling.py
+++ b/programs/oleanderdeal/oleanderdeal/sampling.py
@@ -46,7 +46,7 @@
         return frozenset() if name is None else frozenset((name,))
 
 
-class SampleObserver(dispatch.Observer):
+class SampleObserver(dispatch.JobObserver):
     """Hands a sample's tokens to its step as they come."""
 
     def __init__(
@@ -60,11 +60,11 @@
         self._work = work
         self._cancelled = threading.Event()
 
-    def see_peer(self, name: str) -> None:
+    def on_peer_chosen(self, name: str) -> None:
         """Remember who makes the sample, so that its next attempt goes elsewhere."""
         self._last_peers.note(self._made_for.step, self._work.number, name)
 
-    def see_tokens(self, tokens: messages.Tokens) -> None:
+    def on_tokens(self, tokens: messages.Tokens) -> None:
         """Add the next tokens."""
         self._made_for.note_progress(
             self._work.work_id, tokens.text, tokens.tokens, tokens.version
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -7,11 +7,11 @@
 from oleander_contracts import contract
 from oleander_routing import router
 from oleander_wire import messages
-from oleanderdeal import callers, calls, once, once_messages, peer_link, peers, tickets
+from oleanderdeal import callers, calls, claim_dispatch, once_messages, peer_link, peers, tickets
 
-_SLICE_SECONDS = 0.1
+_REDIAL_POLL_SECONDS = 0.1
 _TICKET_ATTEMPT = 0
-_EVIDENCE = "sealed by the sidecar of its ticket"
+_SEALED_EVIDENCE = "sealed by the sidecar of its ticket"
 
 
 class TicketDispatcher:
@@ -25,63 +25,65 @@
 
     def __init__(
         self,
-        office: tickets.TicketOffice,
+        signer: tickets.TicketSigner,
         claims: book.ClaimBook,
-        routes: router.Router,
+        router_: router.Router,
         links: peers.PeerLinks,
-        claimed: once.OnceDispatcher,
+        claim_dispatcher: claim_dispatch.ClaimDispatcher,
     ) -> None:
-        self._office = office
+        self._signer = signer
         self._claims = claims
-        self._routes = routes
+        self._router = router_
         self._links = links
-        self._claimed = claimed
+        self._claim_dispatcher = claim_dispatcher
 
     def run(self, request: callers.CallerRequest) -> callers.CallerAnswer:
         """Return what became of the request's key; blocks until then or the deadline."""
-        ticket = self._office.read(request.customer, request.operation.name, request.key)
+        ticket = self._signer.read(request.customer, request.operation.name, request.key)
         if isinstance(ticket, tickets.TicketFault):
-            return callers.tell_unknown(ticket.value)
+            return callers.build_unknown(ticket.value)
         if ticket is None or self._claims.find(request.customer, request.key) is not None:
-            return self._claimed.run(request)
-        tried = self._try(request, ticket)
+            return self._claim_dispatcher.run(request)
+        tried = self._run_at_sidecar(request, ticket)
         if tried.is_ok():
             return tried.ok
         if request.deadline.is_past:
             # Paused meanwhile, perhaps, while another entry went on by a claim.
-            return self._claimed.refuse(request, tried.error.answer)
-        return self._claimed.run(request, tried.error)
+            return self._claim_dispatcher.refuse(request, tried.error.answer)
+        return self._claim_dispatcher.run(request, tried.error)
 
     def refuse(
         self, request: callers.CallerRequest, refusal: callers.CallerAnswer
     ) -> callers.CallerAnswer:
         """Return a refusal, or what is known of an earlier try of the same key."""
-        return self._claimed.refuse(request, refusal)
+        return self._claim_dispatcher.refuse(request, refusal)
 
     def issue(
         self, customer: str, operation: contract.Operation
     ) -> expression.Result[str, callers.CallerAnswer]:
         """Return a key that one sidecar may start, or why there is none now."""
         deadline = clock.start_deadline_ms(operation.timeout_ms)
-        chosen = once.choose_link(self._routes, self._links, operation, frozenset(), deadline)
+        chosen = claim_dispatch.choose_link(
+            self._router, self._links, operation, frozenset(), deadline
+        )
         if chosen.is_error():
             return expression.Error(chosen.error)
         link = chosen.ok
         ticket = tickets.Ticket(link.ticket_epoch, link.incarnation, link.host.address, link.name)
-        return expression.Ok(self._office.issue(customer, operation.name, ticket))
+        return expression.Ok(self._signer.issue(customer, operation.name, ticket))
 
-    def _try(
+    def _run_at_sidecar(
         self, request: callers.CallerRequest, ticket: tickets.Ticket
-    ) -> expression.Result[callers.CallerAnswer, once.NotRun]:
+    ) -> expression.Result[callers.CallerAnswer, claim_dispatch.NotRun]:
         while not request.deadline.is_past:
             link = self._links.find_or_dial(ticket.sidecar, ticket.address)
             if link.is_refused and not link.is_open:
-                return expression.Ok(callers.tell_unknown("sidecar-gone"))
+                return expression.Ok(callers.build_unknown("sidecar-gone"))
             answer = self._send(link, request, ticket)
             if answer is not None:
-                return _judge_answer(answer)
-            link.await_open(request.deadline.earlier(_SLICE_SECONDS))
-        return expression.Ok(callers.tell_unknown("too-late"))
+                return _classify_answer(answer)
+            link.await_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
+        return expression.Ok(callers.build_unknown("too-late"))
 
     def _send(
         self, link: peer_link.PeerLink, request: callers.CallerRequest, ticket: tickets.Ticket
@@ -89,7 +91,7 @@
         """Send the request once; return nothing when the link broke or time is up."""
         call = link.open_call(calls.create_request_id())
         try:
-            run = _write_run(call.request_id, request, ticket)
+            run = _build_run(call.request_id, request, ticket)
             if link.send(run).is_error():
                 return None
             return calls.await_answer(call, request.deadline)
@@ -97,24 +99,24 @@
             link.close_call(call)
 
 
-def _judge_answer(
+def _classify_answer(
     answer: messages.Answer,
-) -> expression.Result[callers.CallerAnswer, once.NotRun]:
-    passed = callers.pass_on(answer)
+) -> expression.Result[callers.CallerAnswer, claim_dispatch.NotRun]:
+    passed = callers.convert_answer(answer)
     if answer.outcome is messages.Outcome.NOT_RUN:
-        return expression.Error(once.NotRun(_TICKET_ATTEMPT, _EVIDENCE, passed))
+        return expression.Error(claim_dispatch.NotRun(_TICKET_ATTEMPT, _SEALED_EVIDENCE, passed))
     if answer.reason == messages.REASON_OTHER_BODY:
-        return expression.Ok(callers.tell_conflict())
+        return expression.Ok(callers.build_conflict())
     return expression.Ok(passed)
 
 
-def _write_run(
+def _build_run(
     request_id: str, request: callers.CallerRequest, ticket: tickets.Ticket
 ) -> messages.Run:
-    return once_messages.write_run(
+    return once_messages.build_run(
         request_id,
         request,
-        once_messages.Place(
+        once_messages.AttemptLocation(
             ticket.incarnation, _TICKET_ATTEMPT, messages.TICKET_SHARD, ticket.epoch
         ),
     )
--- a/programs/oleanderdeal/oleanderdeal/tickets.py
+++ b/programs/oleanderdeal/oleanderdeal/tickets.py
@@ -16,7 +16,7 @@
 
 _PREFIX = "t1~"
 _MAC_BYTES = 8
-_TICKET = re.compile(
+_TICKET_PATTERN = re.compile(
     r"t1~(?P<epoch>[0-9]{1,15})~(?P<incarnation>[0-9a-f]{16})~(?P<address>[0-9a-f.:\[\]]{3,60})"
     r"~(?P<name>[^~]{1,64})~[0-9a-f]{16}~(?P<mac>[0-9a-f]{16})"
 )
@@ -40,7 +40,7 @@
     """It was not issued here for this operation, or the processes' token has changed since."""
 
 
-class TicketOffice:
+class TicketSigner:
     """
     Issues and reads tickets.
 
@@ -64,7 +64,7 @@
         """Return the ticket in a key, or nothing if it is a key of the caller's own."""
         if not key.startswith(_PREFIX):
             return None
-        found = _TICKET.fullmatch(key)
+        found = _TICKET_PATTERN.fullmatch(key)
         if found is None:
             return TicketFault.UNREADABLE
         signed = key[: -len(found["mac"])]
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -9,7 +9,7 @@
 from oleander_base import clock, findings
 from oleander_contracts import contract, fold
 from oleander_samples import collector, pulls, readers, registry
-from oleanderdeal import accounts, gates, http_messages, trainer_runs, version_publisher
+from oleanderdeal import customer_metrics, gates, http_messages, trainer_runs, version_publisher
 
 _CALL_SECONDS = 5.0
 _MOST_BODY_BYTES = 4096
@@ -28,7 +28,7 @@
         runs: trainer_runs.TrainerRuns,
         own_url: collections.abc.Callable[[], str],
         is_draining: collections.abc.Callable[[], bool],
-        threads: gates.ThreadGates,
+        threads: gates.ThreadLimits,
     ) -> None:
         self._configuration = configuration
         self._steps = steps
@@ -102,7 +102,7 @@
         started_at = clock.read_now()
         pulled = self._pull(found, read.ok)
         waited_ms = int((clock.read_now() - started_at) * 1000)
-        accounts.count_samples(customer, trainer, "idle_ms", waited_ms)
+        customer_metrics.count_samples(customer, trainer, "idle_ms", waited_ms)
         if pulled.is_error():
             return _refuse_pull(pulled.error)
         encoded = pulls.write_answer(pulled.ok)
@@ -117,12 +117,12 @@
         self, found: collector.StepCollector, pull: pulls.Pull
     ) -> expression.Result[pulls.PullAnswer, pulls.PullRefusal]:
         """Pull, waiting only while that leaves threads for others."""
-        if not self._threads.take(gates.Gate.PULL):
+        if not self._threads.try_acquire(gates.Gate.PULL):
             return found.pull(pull, 0.0)
         try:
             return found.pull(pull, pull.wait_ms / 1000)
         finally:
-            self._threads.give_back(gates.Gate.PULL)
+            self._threads.release(gates.Gate.PULL)
 
     def delete_step(self, customer: str, trainer: str, step_text: str) -> http_messages.HttpAnswer:
         """End a step early; one that is not known here has ended already."""
