--- a/programs/oleanderdeal/oleanderdeal/budgets.py
+++ b/programs/oleanderdeal/oleanderdeal/budgets.py
@@ -1,19 +1,20 @@
-"""How much of a caller's time a sidecar is given."""
+"""Computes how much of a caller's remaining time a sidecar may use."""
 
 from oleander_base import clock
 
 _RETURN_DIVISOR = 20
-"""One part in so many of the time left is kept for the answer's way back."""
+"""The remaining time divided by this is reserved for returning the answer."""
 _MAX_RETURN_MS = 100
+"""Upper bound on the time reserved for returning the answer."""
 
 
 def compute_budget_ms(deadline: clock.Deadline) -> int:
     """
-    Return the milliseconds that a sidecar may take, less than those that are left.
+    Return the milliseconds that a sidecar may take: those remaining, less a reserve.
 
-    With all of them, work that ended just in time was answered just too late, and a refusal of
-    work that had expired in a queue came after its entry had given up: its caller heard
-    "unknown" of what never ran. Too small a part only brings that back now and then.
+    Without the reserve, answers of work that finished just in time arrived too late, and refusals
+    of work that expired in a queue arrived after the entry had given up, so that callers were told
+    "unknown" about requests that never ran. Too small a reserve makes this rarer only.
     """
     remaining_ms = deadline.remaining_ms
     return remaining_ms - min(_MAX_RETURN_MS, remaining_ms // _RETURN_DIVISOR)
--- a/programs/oleanderdeal/oleanderdeal/caller_api.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_api.py
@@ -1,4 +1,4 @@
-"""Answers callers: checks a request, runs it, and says what became of it."""
+"""Validates the requests of callers, runs them and builds their HTTP answers."""
 
 import collections.abc
 import contextlib
@@ -72,7 +72,7 @@
             metrics.record_timing(metrics.REQUEST_MS, (clock.read_now() - started_at) * 1000)
 
     def issue_key(self, customer: str, operation_name: str) -> http_messages.HttpAnswer:
-        """Issue an idempotency key for one request that may not be repeated."""
+        """Issue an idempotency key for one request of a non-repeatable operation."""
         terms = self._configuration.find_contract(customer)
         operation = terms.find_operation(operation_name) if terms else None
         if operation is None or operation.repeatable:
@@ -101,7 +101,7 @@
         is_gone: collections.abc.Callable[[], bool],
         gate: gates.Gate,
     ) -> http_messages.HttpAnswer:
-        """Answer line by line, once there is a first line; until then a refusal is possible."""
+        """Stream the answer as lines; before the first tokens a refusal is still possible."""
         observer = GenerationObserver(is_gone)
         events = self._release_gate_after(
             gate, self._dispatcher.stream(_build_job(request), request.deadline, observer)
@@ -119,7 +119,7 @@
     def _release_gate_after(
         self, gate: gates.Gate, events: collections.abc.Iterator[dispatch.JobEvent]
     ) -> _JobEvents:
-        """Yield a job's events; its place is given back when they end or nobody reads on."""
+        """Yield a job's events; release its thread when they end or the generator is closed."""
         try:
             yield from events
         finally:
@@ -127,7 +127,7 @@
 
 
 class GenerationObserver(dispatch.JobObserver):
-    """Gathers a generation's text and the weight versions that made it."""
+    """Collects a generation's text and the weight versions that produced it."""
 
     def __init__(self, is_gone: collections.abc.Callable[[], bool]) -> None:
         self._is_gone = is_gone
@@ -136,16 +136,16 @@
 
     @property
     def text(self) -> str:
-        """All text so far."""
+        """The text received so far."""
         return "".join(self._texts)
 
     @property
     def label(self) -> tuple[callers.LabelPart, ...]:
-        """The versions so far, neighbours of one version merged."""
+        """Tokens by weight version so far, with adjacent parts of one version merged."""
         return tuple(self._label)
 
     def on_tokens(self, tokens: messages.Tokens) -> None:
-        """Add the next tokens."""
+        """Append the next tokens."""
         self._texts.append(tokens.text)
         if tokens.version is None or tokens.tokens == 0:
             return
@@ -156,7 +156,7 @@
             self._label.append(callers.LabelPart(tokens.version, tokens.tokens))
 
     def resume(self, terms: messages.GenerationTerms) -> messages.GenerationTerms:
-        """Return the terms for going on elsewhere after what was seen so far."""
+        """Return the terms for resuming on another engine after the tokens received so far."""
         made = sum(part.tokens for part in self._label)
         return messages.GenerationTerms(
             terms.model, terms.prefix, terms.max_tokens, self.text, made, terms.oldest_version
@@ -202,7 +202,7 @@
     first: messages.Tokens,
     events: _JobEvents,
 ) -> collections.abc.Iterator[bytes]:
-    """Yield one line for each piece and one for the end; a cut stream has no last line."""
+    """Yield a line for each piece of text and one for the end, which a cut stream lacks."""
     with contextlib.closing(events):
         yield from _write_events(request, observer, itertools.chain([first], events))
 
--- a/programs/oleanderdeal/oleanderdeal/caller_requests.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_requests.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests: every fault is found, and all are reported together."""
+"""Parses and validates callers' requests; reports all problems of a request together."""
 
 import json
 import re
@@ -13,16 +13,18 @@
 
 MAX_BODY_BYTES = 1024 * 1024
 MAX_TOKENS = 131072
+"""Upper bound on `max_tokens` of one generation."""
 _KEY_PATTERN = re.compile(r"[!-~]{1,200}")
 _TRACE_ID_PATTERN = re.compile(r"[!-~]{1,100}")
 _NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
 _NO_OLDEST_VERSION = -1
+"""Callers accept any weight version; only trainers set a bound."""
 
 
 def read_caller_request(
     request: http_messages.HttpRequest, terms: contract.Contract, operation: contract.Operation
 ) -> expression.Result[callers.CallerRequest, findings.Findings]:
-    """Return the checked request, or all that is wrong with it."""
+    """Return the valid request, or a finding for each problem."""
     found: list[findings.Finding] = []
     key = _read_key(request, operation, found)
     trace_id = _read_trace_id(request, found)
--- a/programs/oleanderdeal/oleanderdeal/callers.py
+++ b/programs/oleanderdeal/oleanderdeal/callers.py
@@ -1,4 +1,4 @@
-"""Requests from callers: what was asked, and the answer that is sent back."""
+"""Requests of callers, and the answers that are sent to them."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerRequest:
-    """One checked request of a customer."""
+    """One valid request of a customer."""
 
     customer: str
     operation: contract.Operation
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LabelPart:
-    """Tokens that one weight version produced, next to each other."""
+    """A run of adjacent tokens that one weight version produced."""
 
     version: int
     tokens: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerAnswer:
-    """What a caller is told."""
+    """The answer to a caller: its outcome, HTTP status and body."""
 
     outcome: messages.Outcome
     status: int
@@ -49,10 +49,11 @@
 STATUS_REFUSED = 503
 STATUS_UNKNOWN = 504
 _MIN_RETRY_AFTER_MS = 100
+"""Lower bound on the delay that a refusal asks for, so that callers do not retry at once."""
 
 
 def build_refusal(reason: str, retry_after_ms: int) -> CallerAnswer:
-    """Say that the request did not run, and when to come back."""
+    """Return the answer that the request did not run, with the delay before a retry."""
     return CallerAnswer(
         messages.Outcome.NOT_RUN,
         STATUS_REFUSED,
@@ -63,24 +64,24 @@
 
 
 def build_unknown(reason: str, retry_after_ms: int = 0) -> CallerAnswer:
-    """Say that the request may have run, and when asking again may tell."""
+    """Return the answer that the request may have run; a retry after the delay may find out."""
     return CallerAnswer(messages.Outcome.UNKNOWN, STATUS_UNKNOWN, reason, retry_after_ms, b"")
 
 
 def build_failure(reason: str, status: int = STATUS_FAILED, body: bytes = b"") -> CallerAnswer:
-    """Say that the request ran and failed."""
+    """Return the answer that the request ran and failed."""
     return CallerAnswer(messages.Outcome.FAILED, status, reason, 0, body)
 
 
 def build_conflict() -> CallerAnswer:
-    """Say that the key was used before with another body; this request did not run."""
+    """Return the answer that the key was used with another body; the request did not run."""
     return CallerAnswer(
         messages.Outcome.NOT_RUN, STATUS_CONFLICT, messages.REASON_OTHER_BODY, 0, b""
     )
 
 
 def convert_answer(answer: messages.Answer) -> CallerAnswer:
-    """Return what a sidecar answered, in the caller's terms."""
+    """Convert a sidecar's answer to one for the caller."""
     match answer.outcome:
         case messages.Outcome.DONE:
             return CallerAnswer(answer.outcome, answer.status or STATUS_OK, "", 0, answer.body)
--- a/programs/oleanderdeal/oleanderdeal/calls.py
+++ b/programs/oleanderdeal/oleanderdeal/calls.py
@@ -1,4 +1,4 @@
-"""Requests that were sent to a sidecar, and what comes back for them."""
+"""Requests in flight to a sidecar, and the events received for them."""
 
 import dataclasses
 import queue
@@ -8,12 +8,14 @@
 from oleander_wire import messages
 
 _MAX_QUEUED_EVENTS = 4096
+"""For each call; beyond it the call ends as if its link was lost."""
 _POLL_SECONDS = 0.1
+"""Longest time before a wait notices that the event queue has overflowed."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LinkLost:
-    """The link broke while a call was open; the request may have run or still be running."""
+    """The link was lost during a call; the request may have run or may still be running."""
 
 
 CallEvent = messages.Tokens | messages.Answer | LinkLost
@@ -21,10 +23,11 @@
 
 class Call:
     """
-    One request that was sent to a sidecar; events come until an answer or the link's loss.
+    One request in flight to a sidecar; receives events until its answer or the link's loss.
 
-    The queue is bounded. When a caller reads so slowly that it fills up, tokens are not dropped
-    singly, which would cut a hole into an answer; the call ends as if its link was lost.
+    The event queue is bounded. If a caller reads so slowly that it fills up, the call ends as if
+    its link was lost, because dropping single tokens would leave gaps in the answer.
+    `is_sole_sender` means that no other process sends this request.
     """
 
     def __init__(self, request_id: str, peer: str, is_only_one: bool) -> None:
@@ -35,14 +38,14 @@
         self._overflowed = threading.Event()
 
     def put(self, event: CallEvent) -> None:
-        """Hand an event to the waiting task."""
+        """Queue an event for the waiting thread; on overflow the call counts as lost."""
         try:
             self._events.put_nowait(event)
         except queue.Full:
             self._overflowed.set()
 
     def wait(self, deadline: clock.Deadline) -> CallEvent | None:
-        """Return the next event, or nothing at the deadline."""
+        """Return the next event, or `None` at the deadline."""
         if self._overflowed.is_set():
             return LinkLost()
         try:
@@ -52,7 +55,7 @@
 
 
 def await_answer(call: Call, deadline: clock.Deadline) -> messages.Answer | None:
-    """Return the answer, or nothing when the link broke or time is up."""
+    """Return the answer, or `None` if the link is lost or the deadline passes."""
     while not deadline.is_past:
         event = call.wait(deadline.earlier(_POLL_SECONDS))
         if isinstance(event, messages.Answer):
@@ -63,5 +66,5 @@
 
 
 def create_request_id() -> str:
-    """Return the name of one message exchange."""
+    """Return a random id that matches the messages of one request and its answer."""
     return identifiers.create_nonce()
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -1,9 +1,10 @@
 """
-Runs a request that may not be repeated: at most once, whatever fails.
+Runs non-repeatable requests at most once, by claims in the log.
 
-The claim that stands first in the log says which sidecar incarnation may run the key. Only the
-entry whose own claim that is sends the request there, once. Everyone else, and this entry after
-a broken link, only asks that sidecar what became of the key; asking seals a key that never came.
+For each attempt the first claim in the log decides which sidecar incarnation may run the key. Only
+the entry that wrote this claim sends the request there, once. Other entries, and this entry after
+it lost the link, only ask that sidecar for the outcome. Asking seals a key that has not arrived,
+so that it can no longer start there.
 """
 
 import dataclasses
@@ -19,9 +20,13 @@
 from oleanderdeal import callers, calls, key_inquiry, once_messages, peer_link, peers
 
 _MAX_ATTEMPTS = 4
+"""Attempts that one call of `run` makes or follows; each needs a claim in the log."""
 _REDIAL_POLL_SECONDS = 0.1
+"""Longest wait for a link to open before the sidecar is dialled again."""
 _CLAIMANT_GRACE_SECONDS = 0.3
+"""Time after which a claim's request should have arrived, so that asking may seal its key."""
 _POLL_SECONDS = 0.02
+"""Pause between two checks whether a claimed request has arrived."""
 _SEALED_EVIDENCE = "sealed by its sidecar"
 _REFUSED_EVIDENCE = "refused by its sidecar"
 _NOT_SENT_EVIDENCE = "never sent by its claimant"
@@ -29,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Attempt:
-    """A claim in force, and whether this entry is the one that made it just now."""
+    """A claim in force, and whether this entry has just written it."""
 
     logged: records.LoggedClaim
     is_own: bool
@@ -37,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NotRun:
-    """The attempt never ran and never will; the next one may be claimed."""
+    """Proof that an attempt never ran and never will, so that the next may be claimed."""
 
     attempt: int
     evidence: str
@@ -48,7 +53,7 @@
 
 
 class ClaimDispatcher:
-    """Claims a key, sends its request to the claimed sidecar, or follows an earlier claim."""
+    """Claims a key and sends its request to the claimed sidecar, or follows an earlier claim."""
 
     def __init__(
         self, claims: book.ClaimBook, router_: router.Router, links: peers.PeerLinks
@@ -62,9 +67,9 @@
         self, request: callers.CallerRequest, last_not_run: NotRun | None = None
     ) -> callers.CallerAnswer:
         """
-        Return what became of the request's key; blocks until then or the deadline.
+        Run a request and return its answer; blocks until its key has an outcome or the deadline.
 
-        Evidence that an earlier attempt never ran, where there is any, is needed for the next.
+        `last_not_run` proves that an earlier attempt never ran, and allows the next one.
         """
         excluded: frozenset[str] = frozenset()
         for _ in range(_MAX_ATTEMPTS):
@@ -81,7 +86,7 @@
             if last_not_run.evidence != _SEALED_EVIDENCE:
                 excluded |= {claim.sidecar}
             if request.deadline.is_past:
-                # Paused meanwhile, perhaps, while another entry made the next attempt.
+                # This process may have been suspended while another entry made the next attempt.
                 return self._inquiry.check(request, last_not_run.answer)
         return last_not_run.answer if last_not_run else callers.build_refusal("too-late", 0)
 
@@ -92,10 +97,10 @@
         not_run_attempt: int = 0,
     ) -> callers.CallerAnswer:
         """
-        Return a refusal, or what is known of an earlier try of the same key.
+        Return the refusal, unless the key may have run in an earlier attempt.
 
-        This try did not run, but one that the caller sent before may have, through another entry.
-        Attempts up to the settled one are known not to have run.
+        The request did not run here, but the caller may have sent it through another entry before.
+        Attempts up to `not_run_attempt` are known not to have run.
         """
         known = self._claims.find(request.customer, request.key)
         if known is not None and known.claim.attempt > not_run_attempt:
@@ -109,10 +114,10 @@
         excluded: frozenset[str],
     ) -> expression.Result[_Attempt, callers.CallerAnswer]:
         """
-        Return the claim to follow, or make the next one.
+        Return the claim to follow, or write a claim for the next attempt.
 
-        Evidence counts for one attempt only. If somebody has claimed a later one meanwhile, that
-        one may be running, so it is followed and not claimed past.
+        Evidence is valid for one attempt only. If another entry has claimed a later attempt
+        meanwhile, that attempt may be running, so it is followed and no further one is claimed.
         """
         known = self._claims.find(request.customer, request.key)
         not_run_attempt = last_not_run.attempt if last_not_run is not None else 0
@@ -154,15 +159,15 @@
         self, request: callers.CallerRequest, error: shard.ClaimError, not_run_attempt: int
     ) -> callers.CallerAnswer:
         """
-        Answer a caller whose claim was not decided.
+        Return the answer for a request whose claim was not decided.
 
-        Nothing was sent for it, now or later; an earlier try may have been, by another entry.
+        This entry never sends the request, but another entry may have sent it before.
         """
         refusal = callers.build_refusal(error.reason, error.retry_after_ms)
         return self.refuse(request, refusal, not_run_attempt)
 
     def _run_attempt(self, request: callers.CallerRequest, attempt: _Attempt) -> _AttemptResult:
-        """Send the request if the claim is this entry's own, and follow it to its end."""
+        """Send the request if this entry wrote the claim, and wait for the attempt's outcome."""
         claim = attempt.logged.claim
         if not attempt.is_own:
             self._wait_for_claimant(request, attempt.logged)
@@ -186,7 +191,7 @@
         logged: records.LoggedClaim,
         link: peer_link.PeerLink,
     ) -> _AttemptResult:
-        """Send the request; this is the only place that does, and it runs once for a claim."""
+        """Send the request. No other code does, and it is called once for each claim."""
         invariants.require(
             not request.operation.repeatable, "once-only", "a repeatable request was claimed"
         )
@@ -207,11 +212,11 @@
         self, request: callers.CallerRequest, logged: records.LoggedClaim
     ) -> None:
         """
-        Leave a fresh claim's request a moment to arrive before asking seals the key.
+        Wait for the request of a recent claim to arrive, as asking earlier would seal its key.
 
-        Without it two entries that are asked at the same time seal each other's attempts, one
-        after the other, until both refuse. A claimant that takes longer is sealed, which costs
-        another attempt and breaks no promise.
+        Without this wait, two entries with the same key would seal each other's attempts in turn
+        until both refuse. If the claimant takes longer its attempt is sealed, which costs one
+        further attempt but never runs a request twice.
         """
         claim = logged.claim
         fresh = clock.Deadline(logged.folded_at + _CLAIMANT_GRACE_SECONDS)
@@ -228,10 +233,10 @@
         self, request: callers.CallerRequest, logged: records.LoggedClaim
     ) -> _AttemptResult:
         """
-        Ask the claimed sidecar what became of the key, until it says or time is up.
+        Ask the claimed sidecar for the key's outcome until it answers or the deadline passes.
 
-        Where nobody listens any more, that incarnation has ended and can't say; the caller is
-        told so at once.
+        If the connection is refused, that incarnation has ended and its outcome can't be learnt;
+        the caller is told "unknown" at once.
         """
         claim = logged.claim
         while not request.deadline.is_past:
@@ -258,7 +263,7 @@
     excluded: frozenset[str],
     deadline: clock.Deadline,
 ) -> expression.Result[peer_link.PeerLink, callers.CallerAnswer]:
-    """Return the link to a sidecar for an operation that may not be repeated."""
+    """Return the link to a sidecar for a non-repeatable operation, or the refusal."""
     chosen = router_.choose(
         router.RouteRequest(
             backend=operation.backend,
--- a/programs/oleanderdeal/oleanderdeal/customer_metrics.py
+++ b/programs/oleanderdeal/oleanderdeal/customer_metrics.py
@@ -1,4 +1,4 @@
-"""Counts what each customer received, by the names that the report reads."""
+"""Counts the outcomes of each customer's requests, under the metric names that `report` reads."""
 
 from oleander_base import log, metrics
 from oleander_wire import messages
@@ -6,7 +6,7 @@
 
 
 def count_answer(request: callers.CallerRequest, answer: callers.CallerAnswer) -> None:
-    """Count one caller's answer under its customer and operation."""
+    """Count and log one answer under its customer and operation."""
     log.logger.bind(
         event="request",
         trace=request.trace_id,
@@ -31,6 +31,6 @@
 
 
 def count_samples(customer: str, trainer: str, kind: str, amount: int) -> None:
-    """Count what a trainer received: samples delivered, and idle milliseconds of its pulls."""
+    """Add to one of a trainer's counters, such as samples or idle milliseconds of pulls."""
     if amount:
         metrics.count(f"customer.{customer}.trainer.{trainer}.{kind}", amount)
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends requests that may be repeated to backend servers, trying again where that helps."""
+"""Runs repeatable requests at sidecars, with retries within each customer's retry budget."""
 
 import collections.abc
 import dataclasses
@@ -12,15 +12,18 @@
 from oleanderdeal import budgets, calls, peer_link, peers
 
 NO_CLAIM = -1
+"""Claim offset in the message of a repeatable request, which needs no claim."""
 _POLL_SECONDS = 0.1
+"""Interval at which a waiting call checks whether its caller has gone."""
 _MAX_ATTEMPTS = 4
+"""Includes the first attempt; refusals by sidecars that are leaving do not count."""
 _CANCELLED = "cancelled"
 _TOO_LATE = "too-late"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Job:
-    """A repeatable request, whoever asked for it."""
+    """A repeatable request, of a caller or for a trainer's sample."""
 
     customer: str
     share_percent: int
@@ -36,27 +39,27 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class JobResult:
-    """What became of a job after its last attempt."""
+    """The answer of a job's last attempt, and the sidecar that it ran at, or "" without one."""
 
     answer: messages.Answer
     peer: str
 
 
 class JobObserver:
-    """Sees a job's tokens as they come, and says when nobody wants them any more."""
+    """Receives a job's tokens as they are generated, and tells when it is no longer wanted."""
 
     def on_peer_chosen(self, name: str) -> None:
-        """Take the name of the sidecar that the job is given to."""
+        """Receive the name of the sidecar that the next attempt is sent to."""
 
     def on_tokens(self, tokens: messages.Tokens) -> None:
-        """Take the next tokens."""
+        """Receive the next tokens."""
 
     def resume(self, terms: messages.GenerationTerms) -> messages.GenerationTerms:
-        """Return the terms for going on elsewhere after what was seen so far."""
+        """Return the terms for resuming on another engine after the tokens received so far."""
         return terms
 
     def is_gone(self) -> bool:
-        """Return whether nobody waits any more."""
+        """Return whether no one waits for the job any longer."""
         return False
 
 
@@ -65,7 +68,7 @@
 
 
 class Dispatcher:
-    """Runs jobs: chooses a backend server, follows the call, and retries within the budget."""
+    """Runs jobs: chooses a sidecar, waits for its answer, and retries within the budget."""
 
     def __init__(
         self, router_: router.Router, links: peers.PeerLinks, budgets: retries.RetryBudgets
@@ -75,7 +78,7 @@
         self._budgets = budgets
 
     def run(self, job: Job, deadline: clock.Deadline, observer: JobObserver) -> JobResult:
-        """Return what became of a job; blocks until then."""
+        """Run a job and return its result; blocks until it ends or the deadline passes."""
         for event in self.stream(job, deadline, observer):
             if isinstance(event, JobResult):
                 return event
@@ -85,11 +88,11 @@
         self, job: Job, deadline: clock.Deadline, observer: JobObserver
     ) -> collections.abc.Iterator[JobEvent]:
         """
-        Yield a job's tokens as they come, and last what became of it.
+        Run a job, yielding its tokens as they arrive and finally its result.
 
-        A refusal by a sidecar that is leaving costs neither an attempt nor any of the budget. It
-        is no sign of trouble, it comes once from each, and what waited there when it was told to
-        leave may be more than the budget.
+        A refusal by a sidecar that is leaving counts neither as an attempt nor against the retry
+        budget: it does not indicate overload, each sidecar sends it only once per job, and the
+        requests that were queued there may exceed the budget.
         """
         budget = self._budgets.find_budget(job.customer, job.retry_percent)
         budget.note_fresh()
@@ -113,9 +116,9 @@
         self, job: Job, deadline: clock.Deadline, observer: JobObserver, avoided: frozenset[str]
     ) -> JobResult:
         """
-        Return what became of a single attempt, for callers that retry by themselves.
+        Return the result of a single attempt, for callers that do their own retries.
 
-        Sidecars to avoid are taken all the same if there are no others.
+        A sidecar in `avoided` is still chosen if there are no others.
         """
         ended = self._run_attempt(job, deadline, observer, avoided)
         if avoided and not ended.peer:
@@ -185,7 +188,7 @@
 def _stream_call(
     call: calls.Call, deadline: clock.Deadline, observer: JobObserver
 ) -> collections.abc.Generator[messages.Tokens, None, messages.Answer | None]:
-    """Yield tokens until the answer; return nothing when nobody waits for it any more."""
+    """Yield tokens until the answer; return `None` if the deadline passes or the caller goes."""
     while not deadline.is_past and not observer.is_gone():
         event = call.wait(deadline.earlier(_POLL_SECONDS))
         match event:
@@ -216,7 +219,7 @@
 
 
 def _apply_earlier_attempts(ended: JobResult, may_have_run: bool) -> JobResult:
-    """Say "unknown" when the last attempt did not run but an earlier one may have."""
+    """Report "unknown" if the last attempt did not run but an earlier one may have."""
     answer = ended.answer
     if answer.outcome is not messages.Outcome.NOT_RUN or not may_have_run:
         return ended
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -1,14 +1,15 @@
 """
-Keeps threads of an entry free for urgent work, and some for saying no.
+Limits how many threads of an entry each class of requests may hold.
 
 An entry answers each request on a thread of a bounded pool. Background requests may wait for
-minutes; once they held every thread, a booking would wait behind them without being looked at.
-So each class may hold only a part of the pool, and what is beyond it is refused at once.
-
-Bounds of single classes are not enough: together they came to more than the pool, and requests
-waited for a thread in the server's own queue, where no deadline counts yet. They were answered
-after their deadline, and no refusal came while there was time to go elsewhere. So all classes
-together leave some threads, which only ever refuse and are free again at once.
+minutes; if they held every thread, an urgent request would wait behind them without being read.
+So each class may hold only a share of the pool, and requests above it are refused at once.
+
+Limits for single classes are not enough. Their sum exceeded the pool, and requests then waited for
+a thread in the HTTP server's own queue, where deadlines are not checked yet. They were answered
+after their deadline, and not refused while there was time to go to another entry. So all classes
+together leave some threads of the pool free, which are only used to refuse and are released at
+once.
 """
 
 import enum
@@ -18,7 +19,7 @@
 
 
 class Gate(enum.Enum):
-    """What asks for a thread."""
+    """Class of requests that shares one thread limit."""
 
     CRITICAL = "critical"
     INTERACTIVE = "interactive"
@@ -27,10 +28,11 @@
 
 
 RETRY_AFTER_MS = 500
+"""Delay that a request refused for lack of threads is asked to wait."""
 _TOTAL_SHARE = 0.9
-"""The part of the pool that all classes may hold together; the rest refuses."""
+"""Share of the pool that all classes may hold together; the other threads only refuse."""
 _NON_CRITICAL_SHARE = 0.6
-"""The part that all classes but the critical one may hold together."""
+"""Share of the pool that all classes except the critical one may hold together."""
 _SHARES = {
     Gate.CRITICAL: _TOTAL_SHARE,
     Gate.INTERACTIVE: _NON_CRITICAL_SHARE,
@@ -44,12 +46,12 @@
 
 
 def find_gate(priority: contract.Priority) -> Gate:
-    """Return the gate of a priority class."""
+    """Return the thread class of a priority."""
     return _GATES_BY_PRIORITY.get(priority, Gate.BACKGROUND)
 
 
 class ThreadLimits:
-    """Counts the threads that each class holds."""
+    """Counts the threads that each class holds against its limits; thread-safe."""
 
     def __init__(self, threads: int) -> None:
         self._max_per_gate = {
@@ -61,7 +63,7 @@
         self._lock = threading.Lock()
 
     def try_acquire(self, gate: Gate) -> bool:
-        """Take a place, to be given back; return whether there was one."""
+        """Take a thread of a class, to be released later; return whether one was free."""
         with self._lock:
             if not self._has_free_thread(gate):
                 return False
@@ -69,7 +71,7 @@
             return True
 
     def release(self, gate: Gate) -> None:
-        """Give a taken place back."""
+        """Release a thread that `try_acquire` took."""
         with self._lock:
             self._held[gate] -= 1
 
--- a/programs/oleanderdeal/oleanderdeal/key_inquiry.py
+++ b/programs/oleanderdeal/oleanderdeal/key_inquiry.py
@@ -1,8 +1,9 @@
 """
-Asks the sidecars about a key before a caller is told that its request did not run.
+Asks the sidecars about an idempotency key before an entry answers that its request did not run.
 
 An entry that can't read the log may not know of a claim that another entry made for the same key.
-Its own refusal would be true of its own try, and wrong for a caller who sent the key before.
+"Not run" would then be true of this entry's attempt, but wrong for a caller that sent the key to
+another entry before.
 """
 
 from oleander_base import clock
@@ -11,18 +12,19 @@
 from oleanderdeal import callers, calls, peer_link, peers
 
 _ASK_TIMEOUT_SECONDS = 0.5
+"""Bound on the answers of all sidecars together."""
 _RETRY_AFTER_MS = 500
+"""Delay before a caller that is told "unknown" asks again; the entry may know more by then."""
 REASON_UNSURE = "can't tell whether an earlier try ran"
 
 
 class KeyInquiry:
     """
-    Finds out whether a key that this entry does not know of has run.
+    Determines whether a key without a known claim may have run.
 
-    Asks the linked sidecars of one backend, at most as many as the entry links to, and waits half
-    a second at most. A sidecar that can't be asked, one that was lost since the claims were last
-    read, or one that this entry does not link to may have run the key; then the caller is told
-    "unknown".
+    Asks all linked sidecars of the operation's backend, for half a second at most. The key may
+    have run at a sidecar that does not answer, one whose link was lost since the claims were last
+    read, or one that this entry has no link to; the caller is then told "unknown".
     """
 
     def __init__(self, claims: book.ClaimBook, links: peers.PeerLinks) -> None:
@@ -32,7 +34,7 @@
     def check(
         self, request: callers.CallerRequest, refusal: callers.CallerAnswer
     ) -> callers.CallerAnswer:
-        """Return the refusal, or what is known of an earlier try of the same key."""
+        """Return the refusal if the key can't have run, else the outcome known or "unknown"."""
         answers = self._ask_sidecars(request)
         for answer in answers:
             if answer is not None and answer.outcome is not messages.Outcome.NOT_RUN:
@@ -44,7 +46,7 @@
         return refusal
 
     def _ask_sidecars(self, request: callers.CallerRequest) -> list[messages.Answer | None]:
-        """Return each sidecar's answer, nothing from one that gave none."""
+        """Return each sidecar's answer, `None` for one that did not answer in time."""
         deadline = clock.start_deadline(_ASK_TIMEOUT_SECONDS)
         asked = [
             (link, send_find(link, request))
@@ -58,7 +60,7 @@
 
 
 def send_find(link: peer_link.PeerLink, request: callers.CallerRequest) -> calls.Call:
-    """Ask one sidecar what it knows of a key; the call is to be closed."""
+    """Ask one sidecar for the state of a key; the caller must close the returned call."""
     call = link.open_call(calls.create_request_id())
     find = messages.Find(call.request_id, request.customer, request.key, request.digest)
     if link.send(find).is_error():
--- a/programs/oleanderdeal/oleanderdeal/once_messages.py
+++ b/programs/oleanderdeal/oleanderdeal/once_messages.py
@@ -1,4 +1,4 @@
-"""The messages about a request that may not be repeated, to the sidecar that may run it."""
+"""Builds the messages for non-repeatable requests to the sidecar that may run them."""
 
 import dataclasses
 
@@ -9,12 +9,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AttemptLocation:
-    """Which sidecar run may start an attempt, and where that stands."""
+    """The sidecar incarnation that may start an attempt, and its claim or ticket."""
 
     incarnation: str
     attempt: int
     shard: int
+    """Shard of the claim topic, or `TICKET_SHARD`."""
     offset: int
+    """Offset of the claim in its shard, or the epoch of the ticket."""
 
 
 def build_run(
@@ -44,7 +46,7 @@
 def build_join(
     request_id: str, request: callers.CallerRequest, logged: records.LoggedClaim
 ) -> messages.Join:
-    """Return the message that asks the claimed sidecar what became of the request."""
+    """Return the message that asks the claimed sidecar for the outcome; it seals an unseen key."""
     return messages.Join(
         request_id=request_id,
         incarnation=logged.claim.incarnation,
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -1,4 +1,4 @@
-"""Runs a request whose key is a ticket at the sidecar that the ticket names."""
+"""Runs requests whose idempotency key is a ticket at the sidecar that the ticket names."""
 
 import expression
 
@@ -10,17 +10,20 @@
 from oleanderdeal import callers, calls, claim_dispatch, once_messages, peer_link, peers, tickets
 
 _REDIAL_POLL_SECONDS = 0.1
+"""Longest wait for a lost link to reopen before the sidecar is dialled again."""
 _TICKET_ATTEMPT = 0
+"""Number of the attempt by ticket; attempts by claim count from 1."""
 _SEALED_EVIDENCE = "sealed by the sidecar of its ticket"
 
 
 class TicketDispatcher:
     """
-    Tries a ticket's sidecar first; what that sidecar sealed goes on by a claim in the log.
+    Tries the ticket's sidecar first; a key that this sidecar sealed continues with a claim.
 
-    Any entry may send the request there, as often as it likes: the ledger starts it once, and
-    later ones join or learn that it is sealed. An entry that has read a claim for the key follows
-    that, since a claim is only made for a ticket's key that was sealed.
+    Any entry may send the request to that sidecar any number of times: the ledger starts it once,
+    and later messages wait for its answer or learn that it is sealed. An entry that has read a
+    claim for the key follows the claim, because a ticket's key is claimed only after its sidecar
+    has sealed it.
     """
 
     def __init__(
@@ -38,7 +41,7 @@
         self._claim_dispatcher = claim_dispatcher
 
     def run(self, request: callers.CallerRequest) -> callers.CallerAnswer:
-        """Return what became of the request's key; blocks until then or the deadline."""
+        """Run a request and return its answer; blocks until the outcome or the deadline."""
         ticket = self._signer.read(request.customer, request.operation.name, request.key)
         if isinstance(ticket, tickets.TicketFault):
             return callers.build_unknown(ticket.value)
@@ -48,20 +51,20 @@
         if tried.is_ok():
             return tried.ok
         if request.deadline.is_past:
-            # Paused meanwhile, perhaps, while another entry went on by a claim.
+            # This process may have been suspended while another entry claimed the key.
             return self._claim_dispatcher.refuse(request, tried.error.answer)
         return self._claim_dispatcher.run(request, tried.error)
 
     def refuse(
         self, request: callers.CallerRequest, refusal: callers.CallerAnswer
     ) -> callers.CallerAnswer:
-        """Return a refusal, or what is known of an earlier try of the same key."""
+        """Return the refusal, unless the key may have run in an earlier attempt."""
         return self._claim_dispatcher.refuse(request, refusal)
 
     def issue(
         self, customer: str, operation: contract.Operation
     ) -> expression.Result[str, callers.CallerAnswer]:
-        """Return a key that one sidecar may start, or why there is none now."""
+        """Return a new ticket, or the refusal if no sidecar is available."""
         deadline = clock.start_deadline_ms(operation.timeout_ms)
         chosen = claim_dispatch.choose_link(
             self._router, self._links, operation, frozenset(), deadline
@@ -88,7 +91,7 @@
     def _send(
         self, link: peer_link.PeerLink, request: callers.CallerRequest, ticket: tickets.Ticket
     ) -> messages.Answer | None:
-        """Send the request once; return nothing when the link broke or time is up."""
+        """Send the request once; return `None` if the link is lost or the deadline passes."""
         call = link.open_call(calls.create_request_id())
         try:
             run = _build_run(call.request_id, request, ticket)
--- a/programs/oleanderdeal/oleanderdeal/tickets.py
+++ b/programs/oleanderdeal/oleanderdeal/tickets.py
@@ -1,9 +1,10 @@
 """
-Idempotency keys that name the one sidecar run that may start them.
+Idempotency keys that name the one sidecar incarnation that may start them.
 
-A ticket needs no record in the log: the ledger of the incarnation that it names starts it once or
-seals it. So a request with a ticket runs while the log is down, and its age is no matter: once
-that incarnation has ended, or has forgotten keys of the ticket's epoch, the outcome is "unknown".
+A ticket needs no record in the log, because the ledger of the incarnation that it names starts the
+key once or seals it. Requests with tickets therefore run while the log is down. Tickets do not
+expire: once the incarnation has ended, or has evicted the keys of the ticket's epoch, the outcome
+is "unknown".
 """
 
 import dataclasses
@@ -24,35 +25,37 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Ticket:
-    """Where a key may be started."""
+    """The sidecar incarnation at which a key may be started."""
 
     epoch: int
-    """The sidecar's epoch when the ticket was issued; it forgets whole epochs."""
+    """The epoch of the sidecar's ledger at issue; a ledger evicts whole epochs of tickets."""
     incarnation: str
     address: str
     sidecar: str
 
 
 class TicketFault(enum.Enum):
-    """Why a key that looks like a ticket can't be used as one."""
+    """Reason for which a key with the prefix of a ticket is invalid."""
 
     UNREADABLE = "ticket-unreadable"
-    """It was not issued here for this operation, or the processes' token has changed since."""
+    """It was not issued for this customer and operation, or the process token has changed
+    since."""
 
 
 class TicketSigner:
     """
-    Issues and reads tickets.
+    Issues tickets and verifies them.
 
-    A ticket carries a code that only processes with the shared token can make. Without it a caller
-    could write one that names any address, and the entry would connect there and present itself.
+    A ticket carries a message authentication code that only processes with the shared token can
+    compute. Without it a caller could forge a ticket with any address, and the entry would connect
+    there and send its credentials.
     """
 
     def __init__(self, process_token: str) -> None:
         self._secret = process_token.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
 
     def issue(self, customer: str, operation: str, ticket: Ticket) -> str:
-        """Return a new key for one request of an operation."""
+        """Return a new signed key for one request of an operation."""
         nonce = identifiers.create_nonce()
         text = (
             f"{_PREFIX}{ticket.epoch}~{ticket.incarnation}~{ticket.address}~{ticket.sidecar}"
@@ -61,7 +64,7 @@
         return text + self._sign(customer, operation, text)
 
     def read(self, customer: str, operation: str, key: str) -> Ticket | TicketFault | None:
-        """Return the ticket in a key, or nothing if it is a key of the caller's own."""
+        """Return the ticket in a key, or `None` if the caller made the key itself."""
         if not key.startswith(_PREFIX):
             return None
         found = _TICKET_PATTERN.fullmatch(key)
