--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -124,7 +124,7 @@
         "_WINDOWED_PROBE_PART = 0.0",
     ),
     "crowd": (
-        f"{_PROGRAM}/version_keeper.py",
+        f"{_PROGRAM}/version_reconciler.py",
         "        if not self._plan.may_overlap:",
         "        if order:",
     ),
--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -7,7 +7,7 @@
 from oleander_leases import lease
 from oleander_orders import load_guard
 from oleander_quarantine import ledger
-from oleanderdeal import version_keeper
+from oleanderdeal import version_reconciler
 
 _SEED = 3
 _TENURE_SECONDS = 5.0
@@ -41,7 +41,7 @@
     )
     owned = types.SimpleNamespace(partitions=frozenset())
     kept = types.SimpleNamespace(index=types.SimpleNamespace(list_open=list))
-    return version_keeper.VersionKeeper(known, held, owned, kept, caller, None, loads)
+    return version_reconciler.VersionReconciler(known, held, owned, kept, caller, None, loads)
 
 
 def _find_right(owned_ids, server_id):
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -97,7 +97,7 @@
                 self._advance()
                 for known, keeper in self.processes:
                     known.note_heard()
-                    keeper.order_due()
+                    keeper.give_due_orders()
 
     def restart_all(self):
         for engine in self.engines.values():
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -71,7 +71,7 @@
                 self._advance()
                 for name, keeper in self.keepers.items():
                     self.ordering = name
-                    keeper.order_due()
+                    keeper.give_due_orders()
 
     def list_servers(self, backend):
         return [
--- a/features/steps/organisations_steps.py
+++ b/features/steps/organisations_steps.py
@@ -71,10 +71,10 @@
 
 @behave.when("a caller presents {key}")
 def present_key(context, key):
-    entry = types.SimpleNamespace(_known=context.known)
-    entry._is_silent = lambda: direct_entry.DirectEntry._is_silent(entry)
+    entry = types.SimpleNamespace(_directory=context.known)
+    entry._is_platform_silent = lambda: direct_entry.DirectEntry._is_platform_silent(entry)
     lookup = route_lookup.RouteLookup(
-        context.known, lambda: direct_entry.DirectEntry._is_outdated(entry)
+        context.known, lambda: direct_entry.DirectEntry._is_stale(entry)
     )
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         context.found = lookup.identify(f"Bearer {key}", False, "id")
--- a/features/steps/runners_steps.py
+++ b/features/steps/runners_steps.py
@@ -61,7 +61,7 @@
 def create_keeper(context, before, after):
     context.keeper = _create_keeper(context.engine, fold.ConfigurationFold(), True)
     context.engine.said = read_version(before)
-    context.keeper.look()
+    context.keeper.reconcile()
     context.engine.said = read_version(after)
 
 
@@ -71,14 +71,14 @@
     in_force = fold.ConfigurationFold()
     in_force.apply(0, 0, records.VersionRecord("m", 8, "", "").to_value())
     context.keeper = _create_keeper(context.engine, in_force, checks == "checks")
-    context.keeper.look()
+    context.keeper.reconcile()
     assert context.keeper.version is None
-    context.keeper.look()
+    context.keeper.reconcile()
 
 
 def _create_keeper(backend, in_force, checks_fencing):
     group = tasks.TaskGroup("keeper", 1)
-    return weights.WeightKeeper(
+    return weights.WeightReconciler(
         backend, "m", in_force, group, checks_fencing, _LOAD_TIMEOUT_MS, 0, lambda report: None
     )
 
--- a/programs/oleanderdeal/oleanderdeal/crash_records.py
+++ b/programs/oleanderdeal/oleanderdeal/crash_records.py
@@ -11,12 +11,12 @@
 TOPIC = "oleander.crashes"
 _PARTITION = 0
 _APPEND_SECONDS = 1.0
-_AGAIN_SECONDS = 0.2
-_LOOK_SECONDS = 1.0
+_RETRY_SECONDS = 0.2
+_EVICTION_SCAN_SECONDS = 1.0
 """How often the ledger is scanned for crashes to evict."""
-_MOST_WAITING = 4096
+_MAX_PENDING = 4096
 """Queued records; past this the oldest are dropped."""
-_MOST_RECORDS = 256
+_MAX_RECORDS_PER_APPEND = 256
 """In one append."""
 
 
@@ -27,8 +27,8 @@
     A withdrawal that this process missed is made up for by the ledger's eviction.
     """
 
-    def __init__(self, known: ledger.CrashLedger) -> None:
-        self._ledger = known
+    def __init__(self, crash_ledger: ledger.CrashLedger) -> None:
+        self._ledger = crash_ledger
 
     def put(self, key: str, value: bytes) -> None:
         """Record a crash; a malformed record changes nothing."""
@@ -65,40 +65,41 @@
 
     def __init__(
         self,
-        known: ledger.CrashLedger,
+        crash_ledger: ledger.CrashLedger,
         log_service: recordlog.RecordLog,
         topic: str,
         group: tasks.TaskGroup,
     ) -> None:
-        self._ledger = known
+        self._ledger = crash_ledger
         self._log = log_service
         self._topic = topic
         self._group = group
         self._changed = threading.Condition()
-        self._waiting: collections.deque[bytes] = collections.deque(maxlen=_MOST_WAITING)
+        self._pending: collections.deque[bytes] = collections.deque(maxlen=_MAX_PENDING)
 
     def publish(self, crash: records.Crash) -> None:
         """Queue the record of a crash."""
-        self._add([recordlog.write_keyed(crash.key.text, records.encode_crash(crash))])
+        self._enqueue([recordlog.write_keyed(crash.key.text, records.encode_crash(crash))])
 
     def withdraw(self, keys: list[records.CrashKey]) -> None:
         """Queue the removal of crashes."""
-        self._add([recordlog.write_keyed(key.text, b"") for key in keys])
+        self._enqueue([recordlog.write_keyed(key.text, b"") for key in keys])
 
     def write(self) -> None:
         """Append queued records until the group stops."""
         while not self._group.is_stopping:
             self.withdraw(self._ledger.take_forgotten())
-            if not self.write_waiting():
-                self._group.pause(_AGAIN_SECONDS)
+            if not self.append_pending():
+                self._group.pause(_RETRY_SECONDS)
 
-    def write_waiting(self) -> bool:
+    def append_pending(self) -> bool:
         """Append queued records, waiting a while for the first; return whether it succeeded."""
         with self._changed:
-            if not self._waiting:
-                self._changed.wait(_LOOK_SECONDS)
+            if not self._pending:
+                self._changed.wait(_EVICTION_SCAN_SECONDS)
             taken = [
-                self._waiting.popleft() for _ in range(min(_MOST_RECORDS, len(self._waiting)))
+                self._pending.popleft()
+                for _ in range(min(_MAX_RECORDS_PER_APPEND, len(self._pending)))
             ]
         if not taken:
             return True
@@ -108,15 +109,15 @@
             return True
         log.warn_bounded("crashes-unwritten", appended.error.detail, records=len(taken))
         with self._changed:
-            room = _MOST_WAITING - len(self._waiting)
-            self._waiting.extendleft(reversed(taken[-room:] if room else []))
+            capacity = _MAX_PENDING - len(self._pending)
+            self._pending.extendleft(reversed(taken[-capacity:] if capacity else []))
         return False
 
-    def _add(self, waiting: list[bytes]) -> None:
-        if not waiting:
+    def _enqueue(self, added: list[bytes]) -> None:
+        if not added:
             return
         with self._changed:
-            if len(self._waiting) + len(waiting) > _MOST_WAITING:
+            if len(self._pending) + len(added) > _MAX_PENDING:
                 log.warn_bounded("crashes-dropped", "too many wait for the log")
-            self._waiting.extend(waiting)
+            self._pending.extend(added)
             self._changed.notify()
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -27,22 +27,22 @@
     result_writer,
     route_lookup,
     usage_reporter,
-    version_keeper,
+    version_reconciler,
 )
 
 HTTP_THREADS = 24
 """Requests that one entry answers at once; the reads of trainers hold one while they wait."""
 READY_THREADS = 2
 """The platform asks once a second; the second thread is for a check that hangs."""
-MOST_ITEMS = 96
+MAX_CONCURRENT_ITEMS = 96
 """Items that one entry generates at once: all that a few dozen engines can run, should the
 entry be the only one left."""
-MOST_PREFERRED = 6
+MAX_PREFERRED_SERVERS = 6
 """Servers of a backend that an entry keeps to with calls: more than one call may try, and enough
 that the choices of many entries even out."""
 _OTHER_TASKS = 20
 """Followers, servers, writer, runner, keeper and room for a few more."""
-_SILENT_SECONDS = 2.5
+_MAX_SILENCE_SECONDS = 2.5
 """After such a silence of the platform an entry is not ready: others may hear it."""
 _CONFIGURATION_PAUSE_SECONDS = 0.05
 """Configurations are rare and must be in force soon."""
@@ -50,15 +50,15 @@
 """Servers report all the time, so several reports are read together."""
 _CRASHES_PAUSE_SECONDS = 0.05
 """Crashes are rare, and a request may come again at once."""
-_LEAVE_SECONDS = 2.5
+_DEREGISTRATION_SECONDS = 2.5
 """How long after the readiness check fails clients may still come: two checks and a margin."""
 _STOP_MARGIN_SECONDS = 1.5
 """A stop ends so long before the platform's limit."""
-_CLOSE_SECONDS = 0.5
+_JOIN_SECONDS = 0.5
 """For tasks that wait in a call; the process ends without them after it."""
-_RELOAD_SECONDS = 1.0
+_RELOAD_INTERVAL_SECONDS = 1.0
 """Settings change rarely; the store's new address must be used within a few seconds."""
-_POLL_SECONDS = 0.05
+_DRAIN_POLL_SECONDS = 0.05
 """How soon the end of the last request is seen."""
 
 
@@ -69,7 +69,7 @@
     name: str
     host: str
     """Names this host alone, also among those that were replaced."""
-    callers_address: str
+    api_address: str
     ready_address: str
     metrics_address: str
     """Where metrics are served as text; empty where they are not."""
@@ -83,7 +83,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Operations:
+class ApiComponents:
     """What a surface for callers may use."""
 
     lookup: route_lookup.RouteLookup
@@ -92,7 +92,7 @@
     is_ready: collections.abc.Callable[[], bool]
 
 
-class Deployment(abc.ABC):
+class PlatformAdapter(abc.ABC):
     """Joins the entry to one platform."""
 
     @abc.abstractmethod
@@ -100,103 +100,105 @@
         """Return the platform's log."""
 
     @abc.abstractmethod
-    def create_caller(self) -> servers.ServerCaller:
+    def create_server_caller(self) -> servers.ServerCaller:
         """Return what reaches backend servers."""
 
     @abc.abstractmethod
-    def create_duties(self) -> platform.DutyPlatform | None:
+    def create_duty_platform(self) -> platform.DutyPlatform | None:
         """Return what takes reports of use, if anything does."""
 
     @abc.abstractmethod
     def create_sinks(
-        self, known: directory.Directory
+        self, known_servers: directory.Directory
     ) -> tuple[tuple[str, keyed_follower.KeyedSink], tuple[str, keyed_follower.KeyedSink]]:
         """Return topic and sink of the operator's records, then of the servers' records."""
 
     @abc.abstractmethod
-    def name_keyed_topic(self, name: str) -> str:
+    def qualify_topic(self, name: str) -> str:
         """Return what a keyed topic of our own is called on the platform."""
 
     @abc.abstractmethod
-    def reload(self, was_asked: bool) -> None:
+    def reload(self, is_requested: bool) -> None:
         """Take in settings that changed; called each second, and told of a request to."""
 
     @abc.abstractmethod
-    def create_surface(self, operations: Operations) -> http_server.Handler:
+    def create_handler(self, operations: ApiComponents) -> http_server.Handler:
         """Return what answers callers and the readiness check."""
 
 
 class DirectEntry:
     """Everything that one such process consists of."""
 
-    def __init__(self, chosen: EntrySettings, deployment: Deployment) -> None:
-        self._chosen = chosen
-        self._deployment = deployment
+    def __init__(self, settings: EntrySettings, adapter: PlatformAdapter) -> None:
+        self._settings = settings
+        self._adapter = adapter
         self._leaving = threading.Event()
-        self._group = tasks.TaskGroup("entry", MOST_ITEMS + chosen.partitions + _OTHER_TASKS)
-        log_service = deployment.create_log()
-        caller = deployment.create_caller()
+        self._group = tasks.TaskGroup(
+            "entry", MAX_CONCURRENT_ITEMS + settings.partitions + _OTHER_TASKS
+        )
+        log_service = adapter.create_log()
+        caller = adapter.create_server_caller()
         self._router = router.Router(
-            identifiers.hash_text(chosen.name),
-            preferred_peers=preferred.PreferredPeers(chosen.host, MOST_PREFERRED),
+            identifiers.hash_text(settings.name),
+            preferred_peers=preferred.PreferredPeers(settings.host, MAX_PREFERRED_SERVERS),
         )
-        self._known = directory.Directory(self._router, caller)
-        self._followers = self._create_followers(log_service, deployment)
+        self._directory = directory.Directory(self._router, caller)
+        self._followers = self._create_followers(log_service, adapter)
         self._journal = journal.BatchJournal(
-            log_service, self._group, chosen.partitions, chosen.batch_keep_seconds
+            log_service, self._group, settings.partitions, settings.batch_keep_seconds
         )
-        self._owned = ownership.Ownership(log_service, chosen.name, self._group)
-        crashes = ledger.CrashLedger(identifiers.hash_text(chosen.host))
-        self._crashes = self._share_crashes(crashes, log_service)
-        guard = crash_guard.CrashGuard(self._known, crashes, self._crashes)
-        self._reporter, counter = self._create_reporter(log_service)
-        shared = shares.ConcurrencyShares(HTTP_THREADS)
+        self._ownership = ownership.Ownership(log_service, settings.name, self._group)
+        crashes = ledger.CrashLedger(identifiers.hash_text(settings.host))
+        self._crash_writer = self._create_crash_writer(crashes, log_service)
+        guard = crash_guard.CrashGuard(self._directory, crashes, self._crash_writer)
+        self._usage_reporter, counter = self._create_reporter(log_service)
+        concurrency_shares = shares.ConcurrencyShares(HTTP_THREADS)
         dispatcher = calls.CallDispatcher(
-            self._known, self._router, caller, counter, shared, guard
+            self._directory, self._router, caller, counter, concurrency_shares, guard
         )
-        self._writer = result_writer.ResultWriter(self._journal, self._group)
-        items = item_task.ItemRunner(
-            self._known, self._router, caller, dispatcher, self._group, guard
+        self._result_writer = result_writer.ResultWriter(self._journal, self._group)
+        item_runner = item_task.ItemRunner(
+            self._directory, self._router, caller, dispatcher, self._group, guard
         )
-        self._runner = batch_runner.BatchRunner(
-            self._known,
+        self._batch_runner = batch_runner.BatchRunner(
+            self._directory,
             self._journal,
-            batch_tenures.BatchTenures(self._journal, self._owned, chosen.name),
+            batch_tenures.BatchTenures(self._journal, self._ownership, settings.name),
             self._router,
-            items,
-            self._writer,
+            item_runner,
+            self._result_writer,
             self._group,
-            MOST_ITEMS,
+            MAX_CONCURRENT_ITEMS,
             guard,
         )
-        held = rights.OrderRights(
+        order_rights = rights.OrderRights(
             log_service,
-            chosen.host,
-            chosen.order_gap_seconds,
-            chosen.partitions,
+            settings.host,
+            settings.order_gap_seconds,
+            settings.partitions,
             self._group,
         )
-        self._keeper = version_keeper.VersionKeeper(
-            self._known,
-            held,
-            self._owned,
+        self._version_reconciler = version_reconciler.VersionReconciler(
+            self._directory,
+            order_rights,
+            self._ownership,
             self._journal,
             caller,
             self._group,
-            load_guard.LoadGuard(self._known, crashes, self._crashes),
+            load_guard.LoadGuard(self._directory, crashes, self._crash_writer),
         )
-        operations = Operations(
-            route_lookup.RouteLookup(self._known, self._is_outdated),
+        components = ApiComponents(
+            route_lookup.RouteLookup(self._directory, self._is_stale),
             dispatcher,
             batch_api.BatchApi(self._journal),
             self._is_ready,
         )
-        surface = deployment.create_surface(operations)
-        self._callers = self._create_server(surface, chosen.callers_address, HTTP_THREADS)
-        self._ready = self._create_server(surface, chosen.ready_address, READY_THREADS)
-        self._metrics = (
-            self._create_server(metrics_page.MetricsHandler(), chosen.metrics_address, 1)
-            if chosen.metrics_address
+        handler = adapter.create_handler(components)
+        self._api_server = self._create_server(handler, settings.api_address, HTTP_THREADS)
+        self._ready_server = self._create_server(handler, settings.ready_address, READY_THREADS)
+        self._metrics_server = (
+            self._create_server(metrics_page.MetricsHandler(), settings.metrics_address, 1)
+            if settings.metrics_address
             else None
         )
 
@@ -204,33 +206,33 @@
         """Serve until told to stop, then finish what is in progress."""
         for follower in self._followers:
             self._group.keep(follower.follow)
-        self._group.keep(self._crashes.write)
+        self._group.keep(self._crash_writer.write)
         self._group.keep(self._journal.index.follow)
-        self._group.keep(self._owned.keep)
-        self._group.keep(self._writer.write)
-        self._group.keep(self._runner.feed)
-        self._group.keep(self._runner.keep_partials)
-        self._group.keep(self._keeper.keep)
-        if self._reporter is not None:
-            self._group.keep(self._reporter.flush_counts)
-            self._group.keep(self._reporter.keep_lease)
-            self._group.keep(self._reporter.report)
-        self._group.start(self._callers.serve)
-        self._group.start(self._ready.serve)
-        if self._metrics is not None:
-            self._group.start(self._metrics.serve)
-        log.logger.bind(event="started", callers=self._chosen.callers_address).info("serving")
+        self._group.keep(self._ownership.keep)
+        self._group.keep(self._result_writer.write)
+        self._group.keep(self._batch_runner.feed)
+        self._group.keep(self._batch_runner.keep_partials)
+        self._group.keep(self._version_reconciler.run)
+        if self._usage_reporter is not None:
+            self._group.keep(self._usage_reporter.flush_counts)
+            self._group.keep(self._usage_reporter.keep_lease)
+            self._group.keep(self._usage_reporter.report)
+        self._group.start(self._api_server.serve)
+        self._group.start(self._ready_server.serve)
+        if self._metrics_server is not None:
+            self._group.start(self._metrics_server.serve)
+        log.logger.bind(event="started", callers=self._settings.api_address).info("serving")
         reload = lifecycle.ReloadSignal()
-        while not stop.wait(_RELOAD_SECONDS):
-            self._deployment.reload(reload.take())
+        while not stop.wait(_RELOAD_INTERVAL_SECONDS):
+            self._adapter.reload(reload.take())
         self._drain()
         log.logger.bind(event="stopped").info("nothing is in progress")
 
-    def _share_crashes(
+    def _create_crash_writer(
         self, crashes: ledger.CrashLedger, log_service: recordlog.RecordLog
     ) -> crash_records.CrashWriter:
         """Follow the crashes that others record; return what records those seen here."""
-        topic = self._deployment.name_keyed_topic(crash_records.TOPIC)
+        topic = self._adapter.qualify_topic(crash_records.TOPIC)
         sink = crash_records.CrashSink(crashes)
         self._followers.append(
             keyed_follower.KeyedFollower(
@@ -243,55 +245,60 @@
         self, log_service: recordlog.RecordLog
     ) -> tuple[usage_reporter.UsageReporter | None, usage.UsageCounter | None]:
         """Return what reports use and what counts it, where use is to be reported."""
-        chosen = self._chosen.usage
-        duty_platform = self._deployment.create_duties()
-        if chosen is None or duty_platform is None:
+        settings = self._settings.usage
+        duty_platform = self._adapter.create_duty_platform()
+        if settings is None or duty_platform is None:
             return None, None
-        counter = usage.UsageCounter(chosen.window_ms)
+        counter = usage.UsageCounter(settings.window_ms)
         duty_lease = lease.FencedLease(
             log_service,
             usage_reporter.LEASE_TOPIC,
-            self._chosen.host,
-            self._chosen.order_gap_seconds,
+            self._settings.host,
+            self._settings.order_gap_seconds,
         )
         reporter = usage_reporter.UsageReporter(
-            chosen, log_service, duty_lease, self._owned, counter, duty_platform, self._group
+            settings, log_service, duty_lease, self._ownership, counter, duty_platform, self._group
         )
         return reporter, counter
 
     def _create_followers(
-        self, log_service: recordlog.RecordLog, deployment: Deployment
+        self, log_service: recordlog.RecordLog, adapter: PlatformAdapter
     ) -> list[keyed_follower.KeyedFollower]:
-        operator, listed = deployment.create_sinks(self._known)
+        operator_topic, servers_topic = adapter.create_sinks(self._directory)
         return [
             keyed_follower.KeyedFollower(
-                log_service, *operator, self._group, _CONFIGURATION_PAUSE_SECONDS
+                log_service, *operator_topic, self._group, _CONFIGURATION_PAUSE_SECONDS
             ),
             keyed_follower.KeyedFollower(
-                log_service, *listed, self._group, _SERVERS_PAUSE_SECONDS
+                log_service, *servers_topic, self._group, _SERVERS_PAUSE_SECONDS
             ),
         ]
 
     def _create_server(
-        self, surface: http_server.Handler, address: str, threads: int
+        self, handler: http_server.Handler, address: str, threads: int
     ) -> http_server.HttpServer:
         host, _, port = address.rpartition(":")
-        return http_server.HttpServer(surface, host, int(port), threads, self._leaving.is_set)
+        return http_server.HttpServer(handler, host, int(port), threads, self._leaving.is_set)
 
     def _is_ready(self) -> bool:
-        if self._leaving.is_set() or self._is_silent():
+        if self._leaving.is_set() or self._is_platform_silent():
             return False
-        return self._known.table is not None and self._journal.index.is_caught_up
+        return self._directory.table is not None and self._journal.index.is_caught_up
 
-    def _is_silent(self) -> bool:
-        return not self._known.is_listed or self._known.silent_seconds > _SILENT_SECONDS
+    def _is_platform_silent(self) -> bool:
+        return (
+            not self._directory.is_listed or self._directory.silent_seconds > _MAX_SILENCE_SECONDS
+        )
 
-    def _is_outdated(self) -> bool:
-        return self._is_silent() or self._known.configuration_age_seconds > _SILENT_SECONDS
+    def _is_stale(self) -> bool:
+        return (
+            self._is_platform_silent()
+            or self._directory.configuration_age_seconds > _MAX_SILENCE_SECONDS
+        )
 
     def _is_idle(self) -> bool:
-        is_answered = self._callers.is_idle and not self._callers.connections
-        return is_answered and self._writer.is_idle and not self._runner.running
+        is_api_idle = self._api_server.is_idle and not self._api_server.connections
+        return is_api_idle and self._result_writer.is_idle and not self._batch_runner.running
 
     def _drain(self) -> None:
         """
@@ -301,25 +308,25 @@
         use again. Each answer from now on closes its connection; a process that ended at once
         would cut requests that were on their way.
         """
-        deadline = clock.start_deadline(self._chosen.grace_seconds - _STOP_MARGIN_SECONDS)
-        log.logger.bind(event="stopping", running=self._runner.running).info("finishing")
+        deadline = clock.start_deadline(self._settings.grace_seconds - _STOP_MARGIN_SECONDS)
+        log.logger.bind(event="stopping", running=self._batch_runner.running).info("finishing")
         self._leaving.set()
-        self._keeper.leave()
-        if self._reporter is not None:
-            self._reporter.leave()
-        self._runner.drain()
-        self._owned.leave()
+        self._version_reconciler.stop()
+        if self._usage_reporter is not None:
+            self._usage_reporter.leave()
+        self._batch_runner.drain()
+        self._ownership.leave()
         pause = threading.Event()
-        pause.wait(_LEAVE_SECONDS)
+        pause.wait(_DEREGISTRATION_SECONDS)
         while not deadline.is_past and not self._is_idle():
-            self._callers.close_idle()
-            pause.wait(_POLL_SECONDS)
-        if self._callers.connections:
-            log.logger.bind(event="drain-cut", connections=self._callers.connections).error(
+            self._api_server.close_idle()
+            pause.wait(_DRAIN_POLL_SECONDS)
+        if self._api_server.connections:
+            log.logger.bind(event="drain-cut", connections=self._api_server.connections).error(
                 "stopping with requests in progress"
             )
-        if self._reporter is not None:
-            self._reporter.flush()
+        if self._usage_reporter is not None:
+            self._usage_reporter.flush()
         self._group.stop()
-        self._callers.stop()
-        self._group.join(clock.start_deadline(_CLOSE_SECONDS))
+        self._api_server.stop()
+        self._group.join(clock.start_deadline(_JOIN_SECONDS))
--- a/programs/oleanderdeal/oleanderdeal/runners.py
+++ b/programs/oleanderdeal/oleanderdeal/runners.py
@@ -62,7 +62,7 @@
 class EngineRunner(Runner):
     """Streams tokens from the model engine, each with the weights that made it."""
 
-    def __init__(self, backend: engine.Engine, keeper: weights.WeightKeeper) -> None:
+    def __init__(self, backend: engine.Engine, keeper: weights.WeightReconciler) -> None:
         self._backend = backend
         self._keeper = keeper
 
@@ -110,13 +110,13 @@
             if result.is_error():
                 return _judge_error(result.error)
             chunk = result.ok
-            self._keeper.note_stating(chunk.version is not None)
+            self._keeper.record_token_marking(chunk.version is not None)
             if chunk.version is None:
                 unlabelled.append(chunk)
             elif not unlabelled:
                 sent += 1
                 pending.send(_write_tokens(pending.run, chunk, chunk.version))
-            is_hopeless = sent or chunk.version is not None or before.order_open
+            is_hopeless = sent or chunk.version is not None or before.is_order_pending
             if unlabelled and is_hopeless:
                 stream.cancel()
                 return _answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -49,7 +49,7 @@
             is_fed=lambda: self._links.is_linked,
         )
         self._trail = order_trail.OrderTrail(chosen.name, log_service, self._group)
-        self._keeper: weights.WeightKeeper | None = None
+        self._keeper: weights.WeightReconciler | None = None
         self._queue = admission.AdmissionQueue(
             chosen.slots, chosen.queue_length, jitter=random.Random()
         )
@@ -89,7 +89,7 @@
         self._group.keep(self._trail.write)
         if self._keeper is not None:
             self._follower.on_change(self._keeper.wake)
-            self._group.keep(self._keeper.keep)
+            self._group.keep(self._keeper.run)
         self._executor.start()
         self._group.start(self._server.serve)
         lifecycle.announce_address(self._chosen.listen_host, self._server.port)
@@ -114,7 +114,7 @@
         if chosen.backend_kind is setting_table.BackendKind.SERVICE:
             return runners.ServiceRunner(http_service.HttpService(chosen.backend_url))
         backend = http_engine.HttpEngine(chosen.backend_url)
-        self._keeper = weights.WeightKeeper(
+        self._keeper = weights.WeightReconciler(
             backend,
             chosen.model,
             self._in_force,
@@ -153,7 +153,7 @@
         self._queue.close()
         self._leaving.set()
         if self._keeper is not None:
-            self._keeper.leave()
+            self._keeper.stop_ordering()
         self._links.broadcast_heartbeat()
         self._executor.hand_over()
         deadline = clock.start_deadline_ms(self._chosen.drain_ms)
--- a/programs/oleanderdeal/oleanderdeal/version_publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/version_publisher.py
@@ -9,7 +9,7 @@
 from oleander_platform import logservice
 from oleanderdeal import configuration
 
-_SLICE_SECONDS = 0.02
+_POLL_SECONDS = 0.02
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -29,11 +29,11 @@
     def __init__(
         self,
         service: logservice.LogService,
-        in_force: fold.ConfigurationFold,
+        current_configuration: fold.ConfigurationFold,
         group: tasks.TaskGroup,
     ) -> None:
         self._service = service
-        self._in_force = in_force
+        self._configuration = current_configuration
         self._group = group
 
     def publish(
@@ -44,7 +44,7 @@
             error = self._append(customer, model, version, uri, deadline)
             if error is not None:
                 return expression.Error(error)
-        while not deadline.is_past and self._group.pause(_SLICE_SECONDS):
+        while not deadline.is_past and self._group.pause(_POLL_SECONDS):
             offset = self._find_offset(model, version)
             if offset is not None:
                 return expression.Ok(offset)
@@ -53,7 +53,7 @@
         )
 
     def _find_offset(self, model: str, version: int) -> int | None:
-        found = self._in_force.find_version(model)
+        found = self._configuration.find_version(model)
         return found.offset if found is not None and found.version >= version else None
 
     def _append(
--- a/programs/oleanderdeal/oleanderdeal/version_keeper.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -9,92 +9,98 @@
 from oleander_orders import load_guard, load_throttle, plan, rights
 from oleanderdeal import ownership
 
-_ORDER_SECONDS = 0.8
+_ORDER_TIMEOUT_SECONDS = 0.8
 """An order is answered before the load; a server that is silent for so long is left for later."""
-_STATE_SECONDS = 0.4
+_STATE_TIMEOUT_SECONDS = 0.4
 """An engine that does not say its state in this time is left for later."""
-_NEIGHBOR_SECONDS = 0.2
+_NEIGHBOR_TIMEOUT_SECONDS = 0.2
 """For asking whether another server loads; one that is gone must not hold up the order."""
-_LEAST_TENURE_SECONDS = 1.0
+_MIN_TENURE_SECONDS = 1.0
 """With less of the right left no order is begun: it could arrive when a successor may order."""
 _PAUSE_SECONDS = 0.1
 """Between rounds of orders."""
 
 
-class VersionKeeper:
+class VersionReconciler:
     """Gives orders to the servers that this process has the right to; one thread."""
 
     def __init__(
         self,
-        known: directory.Directory,
-        held: rights.OrderRights,
-        owned: ownership.Ownership,
-        kept: journal.BatchJournal,
+        known_servers: directory.Directory,
+        order_rights: rights.OrderRights,
+        partition_ownership: ownership.Ownership,
+        batch_journal: journal.BatchJournal,
         caller: servers.ServerCaller,
         group: tasks.TaskGroup,
-        loads: load_guard.LoadGuard,
+        guard: load_guard.LoadGuard,
     ) -> None:
-        self._directory = known
-        self._rights = held
-        self._owned = owned
-        self._journal = kept
+        self._directory = known_servers
+        self._rights = order_rights
+        self._ownership = partition_ownership
+        self._journal = batch_journal
         self._caller = caller
         self._group = group
-        self._loads = loads
+        self._load_guard = guard
         self._plan = plan.OrderPlan()
         self._throttle = load_throttle.LoadThrottle(
             identifiers.hash_text(identifiers.create_nonce())
         )
-        self._loading: dict[str, bool] = {}
-        self._is_wanted = True
+        self._loading_by_incarnation: dict[str, bool] = {}
+        self._is_running = True
 
-    def keep(self) -> None:
+    def run(self) -> None:
         """Order until the group stops or the process is about to leave."""
-        while not self._group.is_stopping and self._is_wanted:
-            self.order_due()
+        while not self._group.is_stopping and self._is_running:
+            self.give_due_orders()
             self._group.pause(_PAUSE_SECONDS)
         self._rights.release()
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Give no more orders and release the rights."""
-        self._is_wanted = False
+        self._is_running = False
 
-    def order_due(self) -> None:
+    def give_due_orders(self) -> None:
         """Give the orders that are due now."""
         table = self._directory.table
         if table is None:
             return
         engines = [backend for backend in table.backends if backend.models]
-        listed = {item.name: self._directory.list_servers(item.name) for item in engines}
-        every = [server for found in listed.values() for server in found]
-        self._throttle.forget_gone(every)
-        self._rights.want([server.server_id for server in every], self._owned.partitions)
+        servers_by_backend = {
+            item.name: self._directory.list_servers(item.name) for item in engines
+        }
+        all_servers = [server for found in servers_by_backend.values() for server in found]
+        self._throttle.forget_gone(all_servers)
+        self._rights.want([server.server_id for server in all_servers], self._ownership.partitions)
         metrics.record_gauge(metrics.ORDERS_HELD, self._rights.held)
         for batch in self._journal.index.list_open():
             if batch.allowed_lag is not None:
                 self._plan.record_lag(batch.accepted.model, batch.allowed_lag)
-        self._check_taken()
-        self._loading.clear()
-        named = self._directory.list_named()
+        self._check_pending_loads()
+        self._loading_by_incarnation.clear()
+        named_versions = self._directory.list_named()
         for backend in engines:
             keeps_running = not table.wants_single_version(backend.name)
-            servers_of = listed[backend.name]
+            servers_of = servers_by_backend[backend.name]
             for order in self._plan.choose(
-                servers_of, named, backend.models, self._may_order, self._loads.find_limit
+                servers_of,
+                named_versions,
+                backend.models,
+                self._may_order,
+                self._load_guard.find_limit,
             ):
-                self._give(order, servers_of, keeps_running)
+                self._process_order(order, servers_of, keeps_running)
 
     def _may_order(self, server: servers.Server) -> bool:
         return self._find_tenure(server) is not None
 
     def _find_tenure(self, server: servers.Server) -> lease.Tenure | None:
-        held = self._rights.find_right(server.server_id)
-        tenure = held.find_tenure() if held is not None else None
-        if tenure is None or tenure.deadline.remaining < _LEAST_TENURE_SECONDS:
+        right = self._rights.find_right(server.server_id)
+        tenure = right.find_tenure() if right is not None else None
+        if tenure is None or tenure.deadline.remaining < _MIN_TENURE_SECONDS:
             return None
         return tenure
 
-    def _check_taken(self) -> None:
+    def _check_pending_loads(self) -> None:
         """Ask servers whether they have loaded; the list would tell a heartbeat later."""
         for order in self._plan.list_unseen():
             state = self._read_state(order.server)
@@ -103,12 +109,12 @@
 
     def _record_state(self, order: plan.PlannedOrder, state: servers.EngineState) -> None:
         if self._plan.record_state(order, state):
-            self._loads.record_loaded(order.server, order.model, order.version)
+            self._load_guard.record_loaded(order.server, order.model, order.version)
 
     def _read_state(
         self, server: servers.Server
     ) -> expression.Result[servers.EngineState, servers.CallFailure]:
-        return self._caller.read_state(server, clock.start_deadline(_STATE_SECONDS))
+        return self._caller.read_state(server, clock.start_deadline(_STATE_TIMEOUT_SECONDS))
 
     def _is_loading(self, server: servers.Server) -> bool:
         """
@@ -116,15 +122,17 @@
 
         One that says nothing is taken not to load: it may be gone.
         """
-        known = self._loading.get(server.incarnation)
-        if known is None:
-            state = self._caller.read_state(server, clock.start_deadline(_NEIGHBOR_SECONDS))
-            known = state.is_ok() and state.ok.is_loading
-            self._loading[server.incarnation] = known
-        return known
-
-    def _give(
-        self, order: plan.PlannedOrder, listed: list[servers.Server], keeps_running: bool
+        is_loading = self._loading_by_incarnation.get(server.incarnation)
+        if is_loading is None:
+            state = self._caller.read_state(
+                server, clock.start_deadline(_NEIGHBOR_TIMEOUT_SECONDS)
+            )
+            is_loading = state.is_ok() and state.ok.is_loading
+            self._loading_by_incarnation[server.incarnation] = is_loading
+        return is_loading
+
+    def _process_order(
+        self, order: plan.PlannedOrder, backend_servers: list[servers.Server], keeps_running: bool
     ) -> None:
         """Give one order, unless the server has the version or it is not the time."""
         state = self._read_state(order.server)
@@ -132,13 +140,13 @@
             self._plan.defer(order)
         elif (state.ok.find_version(order.model) or 0) >= order.version:
             self._record_state(order, state.ok)
-        elif self._must_wait(order, listed):
+        elif self._must_defer(order, backend_servers):
             self._plan.defer(order)
         else:
             accepted = self._plan.count_accepted(order.server, state.ok)
-            self._send(order, accepted, keeps_running)
+            self._send_order(order, accepted, keeps_running)
 
-    def _must_wait(self, order: plan.PlannedOrder, listed: list[servers.Server]) -> bool:
+    def _must_defer(self, order: plan.PlannedOrder, backend_servers: list[servers.Server]) -> bool:
         """
         Return whether too many servers load just now.
 
@@ -147,11 +155,13 @@
         """
         if not self._plan.may_overlap:
             return False
-        placed = [server for server in listed if self._plan.is_placed(server, order.model)]
-        most_loading = plan.count_at_once(len(listed))
-        return self._throttle.must_wait(order, placed, most_loading, self._is_loading)
+        placed = [
+            server for server in backend_servers if self._plan.is_placed(server, order.model)
+        ]
+        max_loading = plan.count_at_once(len(backend_servers))
+        return self._throttle.must_wait(order, placed, max_loading, self._is_loading)
 
-    def _send(self, order: plan.PlannedOrder, accepted: int, keeps_running: bool) -> None:
+    def _send_order(self, order: plan.PlannedOrder, accepted: int, keeps_running: bool) -> None:
         """
         Send one order and take in what became of it.
 
@@ -159,25 +169,25 @@
         does: a process that was suspended in between finds that it has passed.
         """
         tenure = self._find_tenure(order.server)
-        held = self._rights.find_right(order.server.server_id)
-        if tenure is None or held is None:
+        right = self._rights.find_right(order.server.server_id)
+        if tenure is None or right is None:
             return
-        sent = servers.VersionOrder(
+        request = servers.VersionOrder(
             model=order.model,
             version=order.version,
             keeps_running=keeps_running,
-            holder=held.name,
+            holder=right.name,
             fencing=tenure.fencing,
             accepted_orders=accepted,
         )
-        deadline = tenure.deadline.earlier(_ORDER_SECONDS)
-        self._loads.begin(order.server, order.model, order.version)
-        outcome = self._caller.order(order.server, sent, deadline)
+        deadline = tenure.deadline.earlier(_ORDER_TIMEOUT_SECONDS)
+        self._load_guard.begin(order.server, order.model, order.version)
+        outcome = self._caller.order(order.server, request, deadline)
         if isinstance(outcome, servers.OrderRefused):
-            self._loads.record_refused(order.server)
+            self._load_guard.record_refused(order.server)
         metrics.count(metrics.ORDERS)
         self._plan.record_outcome(order, accepted, outcome)
-        self._loading[order.server.incarnation] = True
+        self._loading_by_incarnation[order.server.incarnation] = True
         log.logger.bind(
             event="order",
             server=order.server.incarnation,
--- a/programs/oleanderdeal/oleanderdeal/weights.py
+++ b/programs/oleanderdeal/oleanderdeal/weights.py
@@ -15,9 +15,9 @@
 from oleander_contracts import fold
 
 _CALL_SECONDS = 2.0
-_IDLE_SECONDS = 0.5
+_POLL_SECONDS = 0.5
 _RETRY_SECONDS = 0.3
-_MOST_RETRY_SECONDS = 5.0
+_MAX_RETRY_SECONDS = 5.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -26,11 +26,11 @@
 
     version: int | None
     """The version that the engine confirmed, or nothing while it is in doubt."""
-    orders_given: int
+    orders_sent: int
     """How many orders went out so far; two equal states have no order between them."""
-    order_open: bool
+    is_order_pending: bool
     """Whether an order is being carried out, or may be without our knowing."""
-    states_version: bool = dataclasses.field(default=True, compare=False)
+    marks_tokens: bool = dataclasses.field(default=True, compare=False)
     """Whether the engine says of each token which version made it, as far as was seen."""
 
     @property
@@ -41,7 +41,7 @@
         An engine that does not say which version made a token would work for nothing while an
         order is open: its tokens may come from either version, and would be thrown away.
         """
-        return self.version if self.states_version or not self.order_open else None
+        return self.version if self.marks_tokens or not self.is_order_pending else None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -54,7 +54,7 @@
     outcome: str
 
 
-class WeightKeeper:
+class WeightReconciler:
     """Orders loads, confirms them by reading, and takes the engine out of rotation in doubt."""
 
     def __init__(
@@ -79,11 +79,11 @@
         self._lock = threading.Lock()
         self._state = WeightState(None, 0, False)
         self._changed = threading.Event()
-        self._is_leaving = False
+        self._is_stopped = False
         self._is_ordering = False
         self._failures = 0
         self._order_after = clock.start_deadline(0.0)
-        self._slot: clock.Deadline | None = None
+        self._load_slot: clock.Deadline | None = None
         self._uncertain_until = clock.start_deadline(0.0)
         if not checks_fencing:
             self._uncertain_until = self._start_uncertainty()
@@ -106,48 +106,48 @@
         """Look at the configuration now; a new version may be in force."""
         self._changed.set()
 
-    def leave(self) -> None:
+    def stop_ordering(self) -> None:
         """Give no more orders; the engine is leaving, and reads of the store are few."""
-        self._is_leaving = True
+        self._is_stopped = True
 
-    def note_stating(self, states_version: bool) -> None:
+    def record_token_marking(self, marks_tokens: bool) -> None:
         """Take in whether a token came with its version."""
-        if self._state.states_version is not states_version:
+        if self._state.marks_tokens is not marks_tokens:
             with self._lock:
-                self._state = dataclasses.replace(self._state, states_version=states_version)
+                self._state = dataclasses.replace(self._state, marks_tokens=marks_tokens)
 
     def confirm_unchanged(self, before: WeightState) -> int | None:
         """Return the version that ran ever since, or nothing if it can't be known."""
         read = self._backend.read_version(clock.start_deadline(_CALL_SECONDS))
         now = self._state
-        if read.is_error() or read.ok.is_loading or before.order_open:
+        if read.is_error() or read.ok.is_loading or before.is_order_pending:
             return None
         if now != before or read.ok.version != before.version:
             self._changed.set()
             return None
         return before.version
 
-    def keep(self) -> None:
+    def run(self) -> None:
         """Follow the version in force until the group stops."""
         while not self._group.is_stopping:
-            pause = self.look()
+            pause = self.reconcile()
             self._changed.wait(pause)
             self._changed.clear()
 
-    def look(self) -> float:
+    def reconcile(self) -> float:
         """Do the next thing that is due; return how many seconds to wait before looking again."""
         wanted = self._configuration.find_version(self._model)
         if not self._confirm_by_reading():
             return _RETRY_SECONDS
         confirmed = self._state.version
         is_current = confirmed is not None and wanted is not None and confirmed >= wanted.version
-        if wanted is None or is_current or self._is_leaving:
+        if wanted is None or is_current or self._is_stopped:
             self._failures = 0
-            self._slot = None
-            return _IDLE_SECONDS
-        due = self._find_due(confirmed)
+            self._load_slot = None
+            return _POLL_SECONDS
+        due = self._find_order_time(confirmed)
         if not due.is_past:
-            return min(_IDLE_SECONDS, due.remaining)
+            return min(_POLL_SECONDS, due.remaining)
         return self._load(engine.LoadOrder(self._model, wanted.version, wanted.offset))
 
     def _confirm_by_reading(self) -> bool:
@@ -160,7 +160,7 @@
         """
         read = self._backend.read_version(clock.start_deadline(_CALL_SECONDS))
         if read.is_error():
-            self._set_state(None, self._state.order_open)
+            self._set_state(None, self._state.is_order_pending)
             return False
         is_uncertain = not self._uncertain_until.is_past
         self._set_state(read.ok.version, read.ok.is_loading or is_uncertain)
@@ -177,7 +177,7 @@
         """
         return clock.start_deadline_ms(self._load_timeout_ms)
 
-    def _find_due(self, confirmed: int | None) -> clock.Deadline:
+    def _find_order_time(self, confirmed: int | None) -> clock.Deadline:
         """
         Return when to order; an engine without weights has nothing to lose by going first.
 
@@ -186,15 +186,17 @@
         """
         if confirmed is None:
             return self._order_after
-        if self._slot is None:
-            self._slot = clock.start_deadline(random.uniform(0, self._spread_ms / 1000))
-        return max(self._slot, self._order_after, key=lambda item: item.expires_at)
+        if self._load_slot is None:
+            self._load_slot = clock.start_deadline(random.uniform(0, self._spread_ms / 1000))
+        return max(self._load_slot, self._order_after, key=lambda item: item.expires_at)
 
     def _load(self, order: engine.LoadOrder) -> float:
         earlier = self._state.version
         with self._lock:
-            given = self._state.orders_given + 1
-            self._state = dataclasses.replace(self._state, orders_given=given, order_open=True)
+            orders_sent = self._state.orders_sent + 1
+            self._state = dataclasses.replace(
+                self._state, orders_sent=orders_sent, is_order_pending=True
+            )
         deadline = clock.start_deadline_ms(self._load_timeout_ms)
         self._is_ordering = True
         try:
@@ -204,31 +206,33 @@
         if loaded.is_ok():
             self._set_state(loaded.ok.version, not self._uncertain_until.is_past)
             self._failures = 0
-            self._tell(order, "loaded")
+            self._report_outcome(order, "loaded")
             return 0.0
         self._back_off(loaded.error.retry_after_ms)
         if loaded.error.not_run:
             self._set_state(earlier, not self._uncertain_until.is_past)
-            self._tell(order, "refused")
+            self._report_outcome(order, "refused")
             return _RETRY_SECONDS
         if not self._checks_fencing:
             self._uncertain_until = self._start_uncertainty()
         self._set_state(None, True)
-        self._tell(order, "in doubt")
+        self._report_outcome(order, "in doubt")
         return 0.0
 
-    def _set_state(self, version: int | None, order_open: bool) -> None:
+    def _set_state(self, version: int | None, is_order_pending: bool) -> None:
         with self._lock:
-            self._state = dataclasses.replace(self._state, version=version, order_open=order_open)
+            self._state = dataclasses.replace(
+                self._state, version=version, is_order_pending=is_order_pending
+            )
         metrics.record_gauge(metrics.WEIGHT_VERSION, -1 if version is None else version)
 
     def _back_off(self, least_ms: int) -> None:
         self._failures = min(self._failures + 1, 10)
-        ceiling = min(_MOST_RETRY_SECONDS, _RETRY_SECONDS * 2**self._failures)
+        ceiling = min(_MAX_RETRY_SECONDS, _RETRY_SECONDS * 2**self._failures)
         seconds = random.uniform(_RETRY_SECONDS, ceiling)
         self._order_after = clock.start_deadline(max(seconds, least_ms / 1000))
 
-    def _tell(self, order: engine.LoadOrder, outcome: str) -> None:
+    def _report_outcome(self, order: engine.LoadOrder, outcome: str) -> None:
         log.logger.bind(
             event="weight-order", model=order.model, version=order.version, fencing=order.fencing
         ).info(outcome)
