--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -60,7 +60,7 @@
     ),
     "orphans": (
         f"{_PROGRAM}/batch_tenures.py",
-        "        if batch.runner or not self._owned.is_believed:",
+        "        if batch.runner or not self._owned.is_assignment_valid:",
         "        if batch:",
     ),
     "window-sizes": (
--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -143,7 +143,7 @@
             self._put_server(name, "engines", (servers.ModelVersion(MODEL, 2),))
         self._put_server("s1", "scorers", ())
         self.journal = journal.BatchJournal(log_service, self.group, 4, 100.0)
-        self.owned = ownership.Ownership(log_service, member, self.group)
+        self.owned = ownership.PartitionOwnership(log_service, member, self.group)
         tenures = batch_tenures.BatchTenures(self.journal, self.owned, member)
         dispatcher = calls.CallDispatcher(self._known, chooser, engines)
         items = item_task.ItemRunner(self._known, chooser, engines, dispatcher, self.group)
@@ -153,7 +153,7 @@
         )
         for task in (
             self.journal.index.follow,
-            self.owned.keep,
+            self.owned.maintain_membership,
             writer.write,
             self.runner.feed,
             self.runner.keep_partials,
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -109,7 +109,7 @@
                 continue
             self._tenures.announce(self._list_running())
             for run in list(self._runs.values()):
-                self._checkpoints.keep(run, _LEAST_KEPT_EVENTS)
+                self._checkpoints.save(run, _LEAST_KEPT_EVENTS)
             self._has_taken.wait(_KEEP_SECONDS)
             self._has_taken.clear()
 
--- a/programs/oleanderdeal/oleanderdeal/batch_tenures.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_tenures.py
@@ -30,7 +30,9 @@
     cut off, 1 play in 19 lost a step and a half to such a move, and none in 16 plays with this.
     """
 
-    def __init__(self, kept: journal.BatchJournal, owned: ownership.Ownership, name: str) -> None:
+    def __init__(
+        self, kept: journal.BatchJournal, owned: ownership.PartitionOwnership, name: str
+    ) -> None:
         self._journal = kept
         self._owned = owned
         self._name = name
@@ -51,7 +53,7 @@
 
     def must_stop(self, batch: fold.Batch) -> bool:
         """Tell whether a batch that this process runs is another's now."""
-        if not self._owned.is_believed:
+        if not self._owned.is_assignment_valid:
             return True
         return batch.runner not in (self._name, self._taken_from.get(batch.batch_id, ""))
 
@@ -93,7 +95,7 @@
         batch lives and reaches the log. It must have read the index as it is since, or it would
         run a batch that the other has taken.
         """
-        if batch.runner or not self._owned.is_believed:
+        if batch.runner or not self._owned.is_assignment_valid:
             return False
         if not self._journal.was_accepted_here(batch.batch_id):
             return False
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -14,7 +14,7 @@
     operator_context,
     order_trail,
     output,
-    patient_log,
+    retrying_log,
 )
 
 _MOST_ROWS = 10_000
@@ -121,7 +121,7 @@
     return "a record"
 
 
-def _print_orders(context: operator_context.OperatorContext, log: patient_log.PatientLog) -> int:
+def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
     """Print the orders to engines; a stream that nobody wrote to is empty."""
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MOST_ROWS)
     offset = 0
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -4,7 +4,7 @@
 
 from oleander_contracts import in_force, records
 from oleander_platform import logservice
-from oleanderdeal import configuration_reader, patient_log
+from oleanderdeal import configuration_reader, retrying_log
 
 
 class Publisher:
@@ -15,7 +15,7 @@
     tells it from all others, also where it took effect twice or late.
     """
 
-    def __init__(self, log: patient_log.PatientLog) -> None:
+    def __init__(self, log: retrying_log.RetryingLog) -> None:
         self._log = log
         self._reader = configuration_reader.ConfigurationReader(log, self._note_record)
         self._nonce = ""
@@ -46,7 +46,7 @@
             verdict = self._look_up() if may_stand else None
             if verdict is not None:
                 return expression.Ok(verdict)
-            if self._log.is_over:
+            if self._log.is_expired:
                 return expression.Error(_describe_failure(error, may_stand))
             self._log.wait(error.retry_after_ms)
 
@@ -56,7 +56,7 @@
             verdict = self._look_up()
             if verdict is not None:
                 return expression.Ok(verdict)
-            if self._log.is_over:
+            if self._log.is_expired:
                 return expression.Error("published, but not read back in time; see audit")
             self._log.wait()
 
--- a/programs/oleanderdeal/oleanderdeal/configuration_reader.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration_reader.py
@@ -6,10 +6,10 @@
 
 from oleander_contracts import fold, records
 from oleander_platform import logservice
-from oleanderdeal import patient_log
+from oleanderdeal import retrying_log
 
-_MOST_RECORDS = 10_000
-_MOST_BYTES = 64 * 1024 * 1024
+_MAX_RECORDS = 10_000
+_MAX_BYTES = 64 * 1024 * 1024
 
 NO_SNAPSHOT = "the log has deleted records and holds no snapshot that makes up for them"
 
@@ -24,11 +24,11 @@
     """
 
     def __init__(
-        self, log: patient_log.PatientLog, listener: RecordListener | None = None
+        self, log: retrying_log.RetryingLog, listener: RecordListener | None = None
     ) -> None:
         self._log = log
         self._listener = listener
-        self._fold = fold.ConfigurationFold(_MOST_RECORDS, _MOST_BYTES)
+        self._fold = fold.ConfigurationFold(_MAX_RECORDS, _MAX_BYTES)
 
     @property
     def fold(self) -> fold.ConfigurationFold:
@@ -45,21 +45,21 @@
     def read_to_end(self) -> expression.Result[None, logservice.LogError]:
         """Read until nothing is left to read now."""
         while True:
-            before = self._fold.next_offset
-            match self._log.read(records.STREAM, before):
+            previous_offset = self._fold.next_offset
+            match self._log.read(records.STREAM, previous_offset):
                 case expression.Result(tag="ok", ok=page):
-                    self._take_page(page)
+                    self._apply_page(page)
                 case expression.Result(error=error):
                     return expression.Error(error)
             if self._fold.next_offset >= page.next_offset:
                 return expression.Ok(None)
-            if self._fold.next_offset > before:
+            if self._fold.next_offset > previous_offset:
                 continue
-            if self._log.is_over:
+            if self._log.is_expired:
                 return expression.Error(_create_error("it holds back records"))
             self._log.wait()
 
-    def _take_page(self, page: logservice.Page) -> None:
+    def _apply_page(self, page: logservice.Page) -> None:
         self._fold.skip_to(page.first_offset)
         for record in page.records:
             if record.offset != self._fold.next_offset:
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -147,7 +147,7 @@
         self._journal = journal.BatchJournal(
             log_service, self._group, settings.partitions, settings.batch_keep_seconds
         )
-        self._ownership = ownership.Ownership(log_service, settings.name, self._group)
+        self._ownership = ownership.PartitionOwnership(log_service, settings.name, self._group)
         crashes = ledger.CrashLedger(identifiers.hash_text(settings.host))
         self._crash_writer = self._create_crash_writer(crashes, log_service)
         guard = crash_guard.CrashGuard(self._directory, crashes, self._crash_writer)
@@ -208,7 +208,7 @@
             self._group.keep(follower.follow)
         self._group.keep(self._crash_writer.write)
         self._group.keep(self._journal.index.follow)
-        self._group.keep(self._ownership.keep)
+        self._group.keep(self._ownership.maintain_membership)
         self._group.keep(self._result_writer.write)
         self._group.keep(self._batch_runner.feed)
         self._group.keep(self._batch_runner.keep_partials)
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -13,6 +13,7 @@
     access,
     caller_api,
     configuration,
+    configuration_sync,
     dispatch,
     entry_handler,
     gates,
@@ -21,7 +22,6 @@
     lifecycle,
     once,
     peer_link,
-    peer_records,
     peers,
     sampling,
     settings,
@@ -33,81 +33,79 @@
     version_publisher,
 )
 
-_MOST_SAVED_RETRIES = 20
-_MOST_EXTRA_LINKS = 32
+_MAX_SAVED_RETRIES = 20
+_MAX_EXTRA_LINKS = 32
 _OTHER_TASKS = 8
-_STOP_SECONDS = 5.0
-_LISTEN_SECONDS = 0.5
+_STOP_TIMEOUT_SECONDS = 5.0
+_DRAIN_POLL_SECONDS = 0.5
 
 
 class Entry:
     """Everything that one entry process consists of."""
 
     def __init__(self, chosen: settings.Settings) -> None:
-        self._chosen = chosen
+        self._settings = chosen
         self._leaving = threading.Event()
         shard_tasks = chosen.claim_shards * book.TASKS_PER_SHARD
         most_tasks = (
-            chosen.peer_limit
-            + _MOST_EXTRA_LINKS
-            + shard_tasks
-            + chosen.sample_tasks
-            + _OTHER_TASKS
+            chosen.peer_limit + _MAX_EXTRA_LINKS + shard_tasks + chosen.sample_tasks + _OTHER_TASKS
         )
         self._group = tasks.TaskGroup("entry", most_tasks)
         log_service = http_logservice.HttpLogService(chosen.log_url)
-        self._in_force = fold.ConfigurationFold()
+        self._configuration = fold.ConfigurationFold()
         self._follower = configuration.ConfigurationFollower(
-            log_service, self._in_force, self._group, chosen.configuration_poll_ms
+            log_service, self._configuration, self._group, chosen.configuration_poll_ms
         )
-        self._records = peer_records.PeerRecords(self._follower)
-        self._routes = router.Router(identifiers.hash_text(chosen.name), clock.read_now)
-        self._links = peers.PeerLinks(self._create_link, self._group, _MOST_EXTRA_LINKS)
-        self._claims = book.ClaimBook(
+        self._synchronizer = configuration_sync.ConfigurationSynchronizer(self._follower)
+        self._router = router.Router(identifiers.hash_text(chosen.name), clock.read_now)
+        self._links = peers.PeerLinks(self._create_link, self._group, _MAX_EXTRA_LINKS)
+        self._claim_book = book.ClaimBook(
             log_service, self._group, chosen.claim_shards, chosen.claim_window
         )
         self._steps = registry.StepRegistry()
         dispatcher = dispatch.Dispatcher(
-            self._routes, self._links, retries.RetryBudgets(_MOST_SAVED_RETRIES)
+            self._router, self._links, retries.RetryBudgets(_MAX_SAVED_RETRIES)
         )
         self._sampling = sampling.SamplingPool(
-            self._steps, dispatcher, self._in_force, self._group, chosen.sample_tasks
+            self._steps, dispatcher, self._configuration, self._group, chosen.sample_tasks
         )
-        self._hosts = hosts.HostFollower(
+        self._host_follower = hosts.HostFollower(
             chosen.name,
             http_hostlist.HttpHostList(chosen.hosts_url),
             self._links,
-            self._routes,
+            self._router,
             chosen.peer_limit,
             self._group,
         )
-        versions = version_publisher.VersionPublisher(log_service, self._in_force, self._group)
-        self._runs = trainer_runs.TrainerRuns(
-            log_service, self._in_force, self._steps, self._group, chosen.name
+        versions = version_publisher.VersionPublisher(
+            log_service, self._configuration, self._group
         )
-        self._snapshots = snapshots.SnapshotWriter(
-            log_service, self._in_force, self._group, chosen.snapshot_interval_ms
+        self._trainer_incarnations = trainer_runs.TrainerRuns(
+            log_service, self._configuration, self._steps, self._group, chosen.name
+        )
+        self._snapshot_writer = snapshots.SnapshotWriter(
+            log_service, self._configuration, self._group, chosen.snapshot_interval_ms
         )
         threads = gates.ThreadGates(chosen.http_threads)
         handler = entry_handler.EntryHandler(
             tokens=access.AccessTable(chosen.customer_tokens),
             callers=caller_api.CallerApi(
-                self._in_force,
+                self._configuration,
                 dispatcher,
                 self._create_once_dispatcher(),
                 threads,
             ),
             trainers=trainer_api.TrainerApi(
-                self._in_force,
+                self._configuration,
                 self._steps,
                 versions,
-                self._runs,
+                self._trainer_incarnations,
                 self._find_own_url,
                 self._leaving.is_set,
                 threads,
             ),
             follower=self._follower,
-            list_peers=self._routes.list_peers,
+            list_peers=self._router.list_peers,
             is_ready=self._is_ready,
         )
         self._server = http_server.HttpServer(
@@ -116,15 +114,15 @@
 
     def run(self, stop: lifecycle.StopSignal) -> None:
         """Serve until told to stop, then finish what is in progress."""
-        self._follower.on_change(self._runs.note_change)
+        self._follower.add_change_listener(self._trainer_incarnations.note_change)
         self._group.keep(self._follower.follow)
-        self._group.keep(self._hosts.follow)
-        self._group.keep(self._runs.write)
-        self._group.keep(self._snapshots.write)
-        self._claims.start()
+        self._group.keep(self._host_follower.follow)
+        self._group.keep(self._trainer_incarnations.write)
+        self._group.keep(self._snapshot_writer.write)
+        self._claim_book.start()
         self._group.keep(self._sampling.feed)
         self._group.start(self._server.serve)
-        lifecycle.announce_address(self._chosen.listen_host, self._server.port)
+        lifecycle.announce_address(self._settings.listen_host, self._server.port)
         while not stop.wait(1.0):
             pass
         self._drain()
@@ -132,33 +130,33 @@
 
     def _create_once_dispatcher(self) -> ticket_dispatch.TicketDispatcher:
         return ticket_dispatch.TicketDispatcher(
-            tickets.TicketOffice(self._chosen.process_token),
-            self._claims,
-            self._routes,
+            tickets.TicketOffice(self._settings.process_token),
+            self._claim_book,
+            self._router,
             self._links,
-            once.OnceDispatcher(self._claims, self._routes, self._links),
+            once.OnceDispatcher(self._claim_book, self._router, self._links),
         )
 
     def _create_link(self, host: hostlist.Host, is_routed: bool) -> peer_link.PeerLink:
         hello = messages.Hello(
             protocol=messages.PROTOCOL,
-            name=self._chosen.name,
+            name=self._settings.name,
             incarnation=identifiers.create_incarnation(),
-            failure_domain=self._chosen.failure_domain,
-            token=self._chosen.process_token,
+            failure_domain=self._settings.failure_domain,
+            token=self._settings.process_token,
         )
-        routes = self._routes if is_routed else None
+        link_router = self._router if is_routed else None
         return peer_link.PeerLink(
-            host, hello, self._chosen.heartbeat_ms, routes, self._records, self._group
+            host, hello, self._settings.heartbeat_ms, link_router, self._synchronizer, self._group
         )
 
     def _find_own_url(self) -> str:
-        return f"http://{self._chosen.listen_host}:{self._server.port}"
+        return f"http://{self._settings.listen_host}:{self._server.port}"
 
     def _is_ready(self) -> bool:
         if self._leaving.is_set() or not self._follower.is_caught_up:
             return False
-        return self._claims.is_settled and bool(self._routes.list_peers())
+        return self._claim_book.is_settled and bool(self._router.list_peers())
 
     def _drain(self) -> None:
         """
@@ -171,11 +169,11 @@
         log.logger.bind(event="draining").info("finishing what is in progress")
         self._leaving.set()
         self._sampling.drain()
-        deadline = clock.start_deadline_ms(self._chosen.drain_ms)
+        deadline = clock.start_deadline_ms(self._settings.drain_ms)
         pause = threading.Event()
         while not self._sampling.is_idle and not deadline.is_past:
-            pause.wait(_LISTEN_SECONDS)
-        pause.wait(_LISTEN_SECONDS)
+            pause.wait(_DRAIN_POLL_SECONDS)
+        pause.wait(_DRAIN_POLL_SECONDS)
         self._steps.close()
         if not self._server.await_idle(deadline):
             log.logger.bind(event="drain-cut").error("stopping with requests in progress")
@@ -184,7 +182,7 @@
         self._group.stop()
         self._server.stop()
         self._links.stop()
-        self._group.join(clock.start_deadline(_STOP_SECONDS))
+        self._group.join(clock.start_deadline(_STOP_TIMEOUT_SECONDS))
 
 
 def run_entry(chosen: settings.Settings) -> int:
--- a/programs/oleanderdeal/oleanderdeal/entry_handler.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_handler.py
@@ -13,7 +13,7 @@
     trainer_api,
 )
 
-_ACCESS_ANSWERS = {
+_ACCESS_PROBLEMS = {
     access.Access.NO_TOKEN: http_messages.Problem(
         401, "A bearer token is needed.", "not-run", "no-token"
     ),
@@ -49,30 +49,30 @@
                 return http_messages.answer_json({"status": "up"})
             case ("GET", "readyz"):
                 return self._answer_ready()
-            case ("GET", "v1", "report" | "configuration" as what):
-                return self._answer_operator(request, what)
+            case ("GET", "v1", "report" | "configuration" as resource):
+                return self._answer_operator(request, resource)
             case (_, "v1", "customers", customer, *rest):
                 return self._answer_customer(request, customer, tuple(rest))
             case _:
-                return _answer_no_path()
+                return _answer_unknown_path()
 
     def _answer_ready(self) -> http_messages.HttpAnswer:
         ready = self._is_ready()
         return http_messages.answer_json({"ready": ready}, 200 if ready else 503)
 
     def _answer_operator(
-        self, request: http_messages.HttpRequest, what: str
+        self, request: http_messages.HttpRequest, resource: str
     ) -> http_messages.HttpAnswer:
         allowed = self._tokens.check(access.OPERATOR, request.find_header("Authorization"))
         if allowed is not access.Access.ALLOWED:
-            return http_messages.answer_problem(_ACCESS_ANSWERS[allowed])
-        if what == "report":
+            return http_messages.answer_problem(_ACCESS_PROBLEMS[allowed])
+        if resource == "report":
             return http_messages.answer_json({"counts": metrics.read_counts()})
         offset = self._follower.configuration.applied_offset
-        known = self._list_peers()
-        usable = sum(peer.is_usable for peer in known)
+        known_peers = self._list_peers()
+        usable = sum(peer.is_usable for peer in known_peers)
         return http_messages.answer_json(
-            {"applied_offset": offset, "peers": len(known), "usable": usable}
+            {"applied_offset": offset, "peers": len(known_peers), "usable": usable}
         )
 
     def _answer_customer(
@@ -80,7 +80,7 @@
     ) -> http_messages.HttpAnswer:
         allowed = self._tokens.check(customer, request.find_header("Authorization"))
         if allowed is not access.Access.ALLOWED:
-            return http_messages.answer_problem(_ACCESS_ANSWERS[allowed])
+            return http_messages.answer_problem(_ACCESS_PROBLEMS[allowed])
         if not self._follower.is_caught_up:
             return _answer_starting(request)
         match (request.method, *rest):
@@ -93,7 +93,7 @@
             case (_, "trainers", trainer, "steps", step, *end):
                 return self._answer_trainer(request, customer, trainer, step, tuple(end))
             case _:
-                return _answer_no_path()
+                return _answer_unknown_path()
 
     def _answer_trainer(
         self,
@@ -101,9 +101,9 @@
         customer: str,
         trainer: str,
         step: str,
-        end: tuple[str, ...],
+        suffix: tuple[str, ...],
     ) -> http_messages.HttpAnswer:
-        match (request.method, *end):
+        match (request.method, *suffix):
             case ("PUT",):
                 return self._trainers.put_step(request, customer, trainer, step)
             case ("DELETE",):
@@ -111,7 +111,7 @@
             case ("POST", "pull"):
                 return self._trainers.pull(request, customer, trainer, step)
             case _:
-                return _answer_no_path()
+                return _answer_unknown_path()
 
 
 def _answer_starting(request: http_messages.HttpRequest) -> http_messages.HttpAnswer:
@@ -124,7 +124,7 @@
     )
 
 
-def _answer_no_path() -> http_messages.HttpAnswer:
+def _answer_unknown_path() -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
         http_messages.Problem(404, "There is no such path or method.", "not-run", "no-such-path")
     )
--- a/programs/oleanderdeal/oleanderdeal/once.py
+++ b/programs/oleanderdeal/oleanderdeal/once.py
@@ -168,7 +168,7 @@
             self._let_claimant_send(request, attempt.logged)
             return self._ask(request, attempt.logged)
         link = self._links.find_or_dial(claim.sidecar, claim.address)
-        is_open = link.await_open(request.deadline.earlier(_SLICE_SECONDS))
+        is_open = link.wait_open(request.deadline.earlier(_SLICE_SECONDS))
         if request.deadline.is_past:
             return _tell_not_run(claim, _NOT_SENT, "too-late")
         if not is_open:
@@ -234,7 +234,7 @@
         claim = logged.claim
         while not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
-            if link.is_refused and not link.is_open:
+            if link.is_connection_refused and not link.is_open:
                 return expression.Ok(callers.tell_unknown("sidecar-gone"))
             call = link.open_call(calls.create_request_id())
             try:
@@ -244,7 +244,7 @@
                 link.close_call(call)
             if answer is not None:
                 return _judge_answer(answer, logged.claim, _SEALED)
-            link.await_open(request.deadline.earlier(_SLICE_SECONDS))
+            link.wait_open(request.deadline.earlier(_SLICE_SECONDS))
         log.warn_bounded("claim-unreachable", f"can't ask {claim.sidecar} about its claim")
         return expression.Ok(callers.tell_unknown("sidecar-unreachable"))
 
--- a/programs/oleanderdeal/oleanderdeal/operator_context.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_context.py
@@ -6,7 +6,7 @@
 
 from oleander_base import clock
 from oleander_platform import logservice
-from oleanderdeal import entry_clients, output, patient_log, settings
+from oleanderdeal import entry_clients, output, retrying_log, settings
 
 Pause = collections.abc.Callable[[float], None]
 
@@ -28,8 +28,10 @@
         """Return the end of the whole command."""
         return clock.start_deadline_ms(self.settings.wait_ms)
 
-    def open_log(self, deadline: clock.Deadline) -> patient_log.PatientLog:
+    def open_log(self, deadline: clock.Deadline) -> retrying_log.RetryingLog:
         """Return the log, asked again and again until the deadline."""
         if self.log is None:
             raise ValueError("this command was built without a log")
-        return patient_log.PatientLog(self.log, self.settings.log_timeout_ms, deadline, self.pause)
+        return retrying_log.RetryingLog(
+            self.log, self.settings.log_timeout_ms, deadline, self.pause
+        )
--- a/programs/oleanderdeal/oleanderdeal/peer_link.py
+++ b/programs/oleanderdeal/oleanderdeal/peer_link.py
@@ -13,16 +13,18 @@
 from oleander_routing import peers as routing_peers
 from oleander_routing import router
 from oleander_wire import link, messages
-from oleanderdeal import calls, peer_records
-
-_DIAL_SECONDS = 1.0
-_HELLO_SECONDS = 2.0
-_MISSED_HEARTBEATS = 4
-_LAST_READ_SECONDS = 0.1
-_REDIAL_SECONDS = 0.1
-_MOST_REDIAL_SECONDS = 3.0
-
-_REFUSED = messages.Answer("", messages.Outcome.NOT_RUN, 0, admission_work.LEAVING, 0, b"", 0)
+from oleanderdeal import calls, configuration_sync
+
+_DIAL_TIMEOUT_SECONDS = 1.0
+_HELLO_TIMEOUT_SECONDS = 2.0
+_MAX_MISSED_HEARTBEATS = 4
+_FINAL_READ_SECONDS = 0.1
+_MIN_REDIAL_SECONDS = 0.1
+_MAX_REDIAL_SECONDS = 3.0
+
+_NOT_RUN_ANSWER = messages.Answer(
+    "", messages.Outcome.NOT_RUN, 0, admission_work.LEAVING, 0, b"", 0
+)
 """What a request comes to that a sidecar left unanswered when it said goodbye."""
 
 
@@ -41,16 +43,16 @@
         host: hostlist.Host,
         hello: messages.Hello,
         heartbeat_ms: int,
-        routes: router.Router | None,
-        records: peer_records.PeerRecords,
+        peer_router: router.Router | None,
+        synchronizer: configuration_sync.ConfigurationSynchronizer,
         group: tasks.TaskGroup,
     ) -> None:
         """Create a link; without routes it serves only requests that name this sidecar."""
         self._host = host
         self._hello = hello
         self._heartbeat_ms = heartbeat_ms
-        self._routes = routes
-        self._records = records
+        self._router = peer_router
+        self._synchronizer = synchronizer
         self._group = group
         self._lock = threading.Lock()
         self._opened = threading.Condition(self._lock)
@@ -60,7 +62,7 @@
         self._calls: dict[str, calls.Call] = {}
         self._stopped = threading.Event()
         self._failures = 0
-        self._is_refused = False
+        self._is_connection_refused = False
         self._is_retired = False
         self._backend = ""
         self._restarted_at = -math.inf
@@ -101,9 +103,9 @@
         return self._restarted_at
 
     @property
-    def is_refused(self) -> bool:
+    def is_connection_refused(self) -> bool:
         """Whether nobody listened at the address at the last try: that run of it has ended."""
-        return self._is_refused
+        return self._is_connection_refused
 
     def keep_open(self) -> None:
         """Dial, receive until the link breaks, and dial again."""
@@ -111,7 +113,7 @@
             opened = self._dial()
             if opened is not None:
                 said_goodbye = self._receive_all(opened)
-                self._lose(opened, said_goodbye)
+                self._handle_disconnect(opened, said_goodbye)
             self._group.pause(self._compute_pause())
 
     def stop(self) -> None:
@@ -121,7 +123,7 @@
         if current is not None:
             current.close(1001, "no longer wanted")
 
-    def await_open(self, deadline: clock.Deadline) -> bool:
+    def wait_open(self, deadline: clock.Deadline) -> bool:
         """Wait for the link to open; return whether it has."""
         with self._opened:
             return self._opened.wait_for(lambda: self.is_open, deadline.remaining)
@@ -135,8 +137,8 @@
         """Take the link out of routing; the calls on it go on."""
         with self._lock:
             self._is_retired = True
-            if self._routes is not None:
-                self._routes.remove(self.name)
+            if self._router is not None:
+                self._router.remove(self.name)
 
     def restore(self) -> None:
         """Take the link back into routing."""
@@ -172,29 +174,29 @@
         return self._stopped.is_set() or self._group.is_stopping
 
     def _compute_pause(self) -> float:
-        ceiling = min(_MOST_REDIAL_SECONDS, _REDIAL_SECONDS * 2 ** min(self._failures, 8))
-        return random.uniform(_REDIAL_SECONDS, max(_REDIAL_SECONDS, ceiling))
+        ceiling = min(_MAX_REDIAL_SECONDS, _MIN_REDIAL_SECONDS * 2 ** min(self._failures, 8))
+        return random.uniform(_MIN_REDIAL_SECONDS, max(_MIN_REDIAL_SECONDS, ceiling))
 
     def _dial(self) -> link.Link | None:
         self._failures += 1
-        dialled = link.dial_link(self._host.address, clock.start_deadline(_DIAL_SECONDS))
-        self._is_refused = dialled.is_error() and dialled.error.is_refused
+        dialled = link.dial_link(self._host.address, clock.start_deadline(_DIAL_TIMEOUT_SECONDS))
+        self._is_connection_refused = dialled.is_error() and dialled.error.is_refused
         if dialled.is_error():
             log.warn_bounded(
                 f"dial-{self.name}", f"can't reach {self.name}: {dialled.error.detail}"
             )
             return None
         opened = dialled.ok
-        if self._greet(opened):
+        if self._exchange_hellos(opened):
             self._failures = 0
             return opened
         opened.close(1002, "no hello")
         return None
 
-    def _greet(self, opened: link.Link) -> bool:
+    def _exchange_hellos(self, opened: link.Link) -> bool:
         if opened.send(self._hello).is_error():
             return False
-        received = opened.receive(clock.start_deadline(_HELLO_SECONDS))
+        received = opened.receive(clock.start_deadline(_HELLO_TIMEOUT_SECONDS))
         if received.is_error() or not isinstance(received.ok, messages.Hello):
             return False
         with self._lock:
@@ -213,11 +215,11 @@
         wait for their whole deadline instead of being taken elsewhere. If this entry was the one
         that was paused, the time is up although much has come; so what is there is read first.
         """
-        silence_ms = self._heartbeat_ms * _MISSED_HEARTBEATS
+        silence_ms = self._heartbeat_ms * _MAX_MISSED_HEARTBEATS
         while not self._is_ending:
             received = opened.receive(clock.start_deadline_ms(silence_ms))
             if received.is_ok() and received.ok is None:
-                received = opened.receive(clock.start_deadline(_LAST_READ_SECONDS))
+                received = opened.receive(clock.start_deadline(_FINAL_READ_SECONDS))
             if received.is_error():
                 return False
             if received.ok is None:
@@ -239,34 +241,34 @@
                     call.put(message)
             case messages.Heartbeat():
                 self._ticket_epoch = message.ticket_epoch
-                self._report(message)
-                self._records.compare(message.configuration_offset, opened)
+                self._update_router(message)
+                self._synchronizer.synchronize(message.configuration_offset, opened)
             case messages.RecordsOffer() | messages.Records():
-                self._records.handle(message, opened)
+                self._synchronizer.handle(message, opened)
             case _:
                 log.warn_bounded("odd-message", f"ignored a {type(message).__name__}")
 
-    def _report(self, beat: messages.Heartbeat) -> None:
-        self._backend = beat.backend
-        if self._routes is None:
+    def _update_router(self, heartbeat: messages.Heartbeat) -> None:
+        self._backend = heartbeat.backend
+        if self._router is None:
             return
         report = routing_peers.PeerReport(
             failure_domain=self._host.failure_domain,
-            backend=beat.backend,
+            backend=heartbeat.backend,
             incarnation=self._incarnation,
-            queued=beat.queued,
-            running=beat.running,
-            slots=beat.slots,
-            wait_ms=beat.wait_ms,
-            version=beat.version,
-            in_rotation=beat.in_rotation,
-            leaving=beat.leaving,
+            queued=heartbeat.queued,
+            running=heartbeat.running,
+            slots=heartbeat.slots,
+            wait_ms=heartbeat.wait_ms,
+            version=heartbeat.version,
+            in_rotation=heartbeat.in_rotation,
+            leaving=heartbeat.leaving,
         )
         with self._lock:
             if not self._is_retired:
-                self._routes.update(self.name, report)
+                self._router.update(self.name, report)
 
-    def _lose(self, opened: link.Link, said_goodbye: bool) -> None:
+    def _handle_disconnect(self, opened: link.Link, said_goodbye: bool) -> None:
         """
         Take the link out of use and tell its calls.
 
@@ -274,10 +276,10 @@
         its calls, and the next dial, would wait for that second too.
         """
         with self._lock:
-            if self._routes is not None and not self._is_retired:
-                self._routes.remove(self.name)
+            if self._router is not None and not self._is_retired:
+                self._router.remove(self.name)
             self._link = None
             open_calls = list(self._calls.values())
         for call in open_calls:
-            call.put(_REFUSED if said_goodbye and call.is_only_one else calls.LinkLost())
+            call.put(_NOT_RUN_ANSWER if said_goodbye and call.is_only_one else calls.LinkLost())
         opened.abort()
--- a/programs/oleanderdeal/oleanderdeal/peers.py
+++ b/programs/oleanderdeal/oleanderdeal/peers.py
@@ -21,24 +21,24 @@
         self,
         create_link: collections.abc.Callable[[hostlist.Host, bool], peer_link.PeerLink],
         group: tasks.TaskGroup,
-        most_extra: int,
+        max_extra: int,
     ) -> None:
         self._create_link = create_link
         self._group = group
-        self._most_extra = most_extra
+        self._max_extra = max_extra
         self._lock = threading.Lock()
         self._links: dict[str, peer_link.PeerLink] = {}
         self._extra: dict[str, peer_link.PeerLink] = {}
         self._retired: dict[str, peer_link.PeerLink] = {}
         self._covers_all = False
-        self._dropped_at = -math.inf
+        self._last_retired_at = -math.inf
 
     @property
     def lost_at(self) -> float:
         """When a sidecar, with all it remembered, was last found to be gone."""
         with self._lock:
             restarts = [item.restarted_at for item in self._links.values()]
-        return max([self._dropped_at, *restarts])
+        return max([self._last_retired_at, *restarts])
 
     def find(self, name: str) -> peer_link.PeerLink | None:
         """Return the routed link to a sidecar."""
@@ -99,7 +99,7 @@
             if name not in wanted or wanted[name].address != item.host.address
         ]
         for item in unwanted:
-            self._dropped_at = clock.read_now()
+            self._last_retired_at = clock.read_now()
             item.retire()
             self._retired[item.host.address] = self._links.pop(item.name)
 
@@ -118,7 +118,7 @@
         return ended
 
     def _add_extra(self, name: str, address: str) -> peer_link.PeerLink:
-        while len(self._extra) >= self._most_extra:
+        while len(self._extra) >= self._max_extra:
             self._extra.pop(next(iter(self._extra))).stop()
         host = hostlist.Host(name, address, "", hostlist.HostState.LIVE)
         self._extra[address] = self._start(host, is_routed=False)
--- a/programs/oleanderdeal/oleanderdeal/patient_log.py
+++ b/programs/oleanderdeal/oleanderdeal/retrying_log.py
@@ -8,26 +8,26 @@
 from oleander_base import clock
 from oleander_platform import logservice
 
-_LEAST_PAUSE_MS = 100
+_MIN_PAUSE_MS = 100
 
 
-class PatientLog:
+class RetryingLog:
     """Repeats what failed until a deadline; tries everything once at least."""
 
     def __init__(
         self,
         log: logservice.LogService,
-        call_ms: int,
+        call_timeout_ms: int,
         deadline: clock.Deadline,
         pause: collections.abc.Callable[[float], None],
     ) -> None:
         self._log = log
-        self._call_ms = call_ms
+        self._call_timeout_ms = call_timeout_ms
         self._deadline = deadline
         self._pause = pause
 
     @property
-    def is_over(self) -> bool:
+    def is_expired(self) -> bool:
         """Whether the deadline has passed."""
         return self._deadline.is_past
 
@@ -36,9 +36,9 @@
     ) -> expression.Result[logservice.Page, logservice.LogError]:
         """Return what the stream holds from an offset on, now."""
         while True:
-            result = self._log.read(stream, offset, 0, self._limit_call())
+            result = self._log.read(stream, offset, 0, self._start_call_deadline())
             match result:
-                case expression.Result(tag="error", error=error) if not self.is_over:
+                case expression.Result(tag="error", error=error) if not self.is_expired:
                     self.wait(error.retry_after_ms)
                 case _:
                     return result
@@ -47,12 +47,12 @@
         self, stream: str, value: dict[str, typing.Any]
     ) -> expression.Result[int, logservice.LogError]:
         """Append one record; not repeated, since a failed append may have had its effect."""
-        return self._log.append(stream, [value], self._limit_call())
+        return self._log.append(stream, [value], self._start_call_deadline())
 
     def wait(self, milliseconds: int = 0) -> None:
         """Wait a while, at most until the deadline."""
-        seconds = max(milliseconds, _LEAST_PAUSE_MS) / 1000
+        seconds = max(milliseconds, _MIN_PAUSE_MS) / 1000
         self._pause(min(seconds, self._deadline.remaining))
 
-    def _limit_call(self) -> clock.Deadline:
-        return clock.start_deadline_ms(self._call_ms)
+    def _start_call_deadline(self) -> clock.Deadline:
+        return clock.start_deadline_ms(self._call_timeout_ms)
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -11,12 +11,12 @@
 from oleander_wire import link, messages
 from oleanderdeal import (
     configuration,
+    configuration_sync,
     executor,
     exit_codes,
     ledger,
     lifecycle,
     order_trail,
-    peer_records,
     runners,
     setting_table,
     settings,
@@ -24,10 +24,10 @@
     weights,
 )
 
-_MOST_LINKS = 128
-_KEYS_PER_ANSWER = 10
+_MAX_LINKS = 128
+_KEYS_PER_KEPT_ANSWER = 10
 _OTHER_TASKS = 8
-_STOP_SECONDS = 2.0
+_STOP_TIMEOUT_SECONDS = 2.0
 _DRAIN_POLL_SECONDS = 0.02
 
 
@@ -35,29 +35,31 @@
     """Everything that one sidecar process consists of."""
 
     def __init__(self, chosen: settings.Settings) -> None:
-        self._chosen = chosen
+        self._settings = chosen
         self._incarnation = identifiers.create_incarnation()
         self._leaving = threading.Event()
         self._group = tasks.TaskGroup("sidecar", chosen.slots + _OTHER_TASKS)
         log_service = http_logservice.HttpLogService(chosen.log_url)
-        self._in_force = fold.ConfigurationFold()
+        self._configuration = fold.ConfigurationFold()
         self._follower = configuration.ConfigurationFollower(
             log_service,
-            self._in_force,
+            self._configuration,
             self._group,
             chosen.configuration_poll_ms,
-            is_fed=lambda: self._links.is_linked,
+            is_peer_fed=lambda: self._links.is_linked,
         )
-        self._trail = order_trail.OrderTrail(chosen.name, log_service, self._group)
-        self._keeper: weights.WeightReconciler | None = None
+        self._order_log = order_trail.OrderTrail(chosen.name, log_service, self._group)
+        self._weight_reconciler: weights.WeightReconciler | None = None
         self._queue = admission.AdmissionQueue(
             chosen.slots, chosen.queue_length, jitter=random.Random()
         )
         self._executor = executor.Executor(
             self._queue, self._create_runner(), self._group, chosen.slots
         )
-        self._keys = ledger.Ledger(
-            self._incarnation, chosen.kept_answers * _KEYS_PER_ANSWER, chosen.kept_answer_bytes
+        self._key_ledger = ledger.Ledger(
+            self._incarnation,
+            chosen.kept_answers * _KEYS_PER_KEPT_ANSWER,
+            chosen.kept_answer_bytes,
         )
         hello = messages.Hello(
             protocol=messages.PROTOCOL,
@@ -71,74 +73,74 @@
             chosen.heartbeat_ms,
             self._read_heartbeat,
             self._executor,
-            self._keys,
-            peer_records.PeerRecords(self._follower),
+            self._key_ledger,
+            configuration_sync.ConfigurationSynchronizer(self._follower),
         )
         self._server = link.LinkServer(
-            chosen.listen_host, chosen.listen_port, self._links.serve, _MOST_LINKS
+            chosen.listen_host, chosen.listen_port, self._links.serve, _MAX_LINKS
         )
 
     @property
     def _is_idle(self) -> bool:
-        is_ordering = self._keeper is not None and self._keeper.is_ordering
-        return self._executor.is_idle and not is_ordering and not self._links.is_awaited
+        is_ordering = self._weight_reconciler is not None and self._weight_reconciler.is_ordering
+        return self._executor.is_idle and not is_ordering and not self._links.has_awaited_answers
 
     def run(self, stop: lifecycle.StopSignal) -> exit_codes.ExitCode:
         """Serve until told to stop, then finish what runs; return the exit status."""
         self._group.keep(self._follower.follow)
-        self._group.keep(self._trail.write)
-        if self._keeper is not None:
-            self._follower.on_change(self._keeper.wake)
-            self._group.keep(self._keeper.run)
+        self._group.keep(self._order_log.write)
+        if self._weight_reconciler is not None:
+            self._follower.add_change_listener(self._weight_reconciler.wake)
+            self._group.keep(self._weight_reconciler.run)
         self._executor.start()
         self._group.start(self._server.serve)
-        lifecycle.announce_address(self._chosen.listen_host, self._server.port)
+        lifecycle.announce_address(self._settings.listen_host, self._server.port)
         while not stop.wait(1.0):
             pass
-        is_whole = self._drain()
-        if is_whole:
+        is_complete = self._drain()
+        if is_complete:
             self._links.say_goodbye()
         else:
             log.logger.bind(event="drain-cut").error("stopping with requests in progress")
-        return exit_codes.ExitCode.OK if is_whole else exit_codes.ExitCode.CUT
+        return exit_codes.ExitCode.OK if is_complete else exit_codes.ExitCode.CUT
 
     def close(self) -> bool:
         """Close every link and end the tasks; return whether all have ended."""
         self._group.stop()
         self._links.stop()
         self._server.stop()
-        return self._group.join(clock.start_deadline(_STOP_SECONDS))
+        return self._group.join(clock.start_deadline(_STOP_TIMEOUT_SECONDS))
 
     def _create_runner(self) -> runners.Runner:
-        chosen = self._chosen
+        chosen = self._settings
         if chosen.backend_kind is setting_table.BackendKind.SERVICE:
             return runners.ServiceRunner(http_service.HttpService(chosen.backend_url))
         backend = http_engine.HttpEngine(chosen.backend_url)
-        self._keeper = weights.WeightReconciler(
+        self._weight_reconciler = weights.WeightReconciler(
             backend,
             chosen.model,
-            self._in_force,
+            self._configuration,
             self._group,
             chosen.checks_fencing,
             chosen.load_timeout_ms,
             chosen.load_spread_ms,
-            self._trail.report,
+            self._order_log.report,
         )
-        return runners.EngineRunner(backend, self._keeper)
+        return runners.EngineRunner(backend, self._weight_reconciler)
 
     def _read_heartbeat(self) -> messages.Heartbeat:
-        version = self._keeper.version if self._keeper is not None else None
+        version = self._weight_reconciler.version if self._weight_reconciler is not None else None
         return messages.Heartbeat(
-            backend=self._chosen.backend,
+            backend=self._settings.backend,
             queued=self._queue.queued,
             running=self._queue.running,
-            slots=self._chosen.slots,
+            slots=self._settings.slots,
             wait_ms=self._queue.estimate_wait_ms(contract.Priority.INTERACTIVE),
             version=version,
-            in_rotation=self._keeper is None or version is not None,
+            in_rotation=self._weight_reconciler is None or version is not None,
             leaving=self._leaving.is_set(),
-            configuration_offset=self._in_force.applied_offset,
-            ticket_epoch=self._keys.ticket_epoch,
+            configuration_offset=self._configuration.applied_offset,
+            ticket_epoch=self._key_ledger.ticket_epoch,
         )
 
     def _drain(self) -> bool:
@@ -152,11 +154,11 @@
         log.logger.bind(event="draining").info("finishing what runs")
         self._queue.close()
         self._leaving.set()
-        if self._keeper is not None:
-            self._keeper.stop_ordering()
+        if self._weight_reconciler is not None:
+            self._weight_reconciler.stop_ordering()
         self._links.broadcast_heartbeat()
         self._executor.hand_over()
-        deadline = clock.start_deadline_ms(self._chosen.drain_ms)
+        deadline = clock.start_deadline_ms(self._settings.drain_ms)
         pause = threading.Event()
         while not self._is_idle and not deadline.is_past:
             pause.wait(_DRAIN_POLL_SECONDS)
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -7,11 +7,11 @@
 
 from oleander_base import clock, invariants, log
 from oleander_wire import link, messages
-from oleanderdeal import executor, ledger, lost_answers, peer_records, work
+from oleanderdeal import configuration_sync, executor, ledger, lost_answers, work
 
-_HELLO_SECONDS = 5.0
-_MOST_RUNS_PER_LINK = 1024
-CLOSE_NOT_ALLOWED = 1008
+_HELLO_TIMEOUT_SECONDS = 5.0
+_MAX_RUNS_PER_LINK = 1024
+CLOSE_POLICY_VIOLATION = 1008
 
 HeartbeatReader = collections.abc.Callable[[], messages.Heartbeat]
 
@@ -24,50 +24,50 @@
         hello: messages.Hello,
         heartbeat_ms: int,
         read_heartbeat: HeartbeatReader,
-        runs: executor.Executor,
-        keys: ledger.Ledger,
-        records: peer_records.PeerRecords,
+        run_executor: executor.Executor,
+        key_ledger: ledger.Ledger,
+        synchronizer: configuration_sync.ConfigurationSynchronizer,
     ) -> None:
         self._hello = hello
         self._heartbeat_ms = heartbeat_ms
         self._read_heartbeat = read_heartbeat
-        self._runs = runs
-        self._keys = keys
-        self._records = records
+        self._executor = run_executor
+        self._key_ledger = key_ledger
+        self._synchronizer = synchronizer
         self._lock = threading.Lock()
-        self._open: set[link.Link] = set()
-        self._lost = lost_answers.LostAnswers()
+        self._open_links: set[link.Link] = set()
+        self._lost_answers = lost_answers.LostAnswers()
         self._stopping = threading.Event()
 
     @property
     def is_linked(self) -> bool:
         """Whether any entry is connected, which then also sends what changed."""
-        return bool(self._open)
+        return bool(self._open_links)
 
     @property
-    def is_awaited(self) -> bool:
+    def has_awaited_answers(self) -> bool:
         """Whether an entry whose link broke may still come for an answer."""
-        return self._lost.is_any_awaited(clock.read_now())
+        return self._lost_answers.is_any_awaited(clock.read_now())
 
     def serve(self, opened: link.Link) -> None:
         """Serve one link until it closes."""
-        if not self._greet(opened):
-            opened.close(CLOSE_NOT_ALLOWED, "hello refused")
+        if not self._exchange_hellos(opened):
+            opened.close(CLOSE_POLICY_VIOLATION, "hello refused")
             return
         with self._lock:
-            self._open.add(opened)
-        served = _ServedLink(opened, self._runs, self._keys, self._lost)
+            self._open_links.add(opened)
+        served = _ServedLink(opened, self._executor, self._key_ledger, self._lost_answers)
         try:
             self._receive_all(opened, served)
         finally:
             with self._lock:
-                self._open.discard(opened)
+                self._open_links.discard(opened)
             served.cancel_all()
 
     def broadcast_heartbeat(self) -> None:
         """Tell every entry at once how this sidecar is."""
         with self._lock:
-            links = list(self._open)
+            links = list(self._open_links)
         for item in links:
             item.send(self._read_heartbeat())
 
@@ -80,7 +80,7 @@
         ran, and one that may not be repeated would end as unknown.
         """
         with self._lock:
-            links = list(self._open)
+            links = list(self._open_links)
         for item in links:
             item.send(messages.Goodbye())
 
@@ -88,12 +88,12 @@
         """Close every link; what was sent still arrives."""
         self._stopping.set()
         with self._lock:
-            links = list(self._open)
+            links = list(self._open_links)
         for item in links:
             item.abort()
 
-    def _greet(self, opened: link.Link) -> bool:
-        received = opened.receive(clock.start_deadline(_HELLO_SECONDS))
+    def _exchange_hellos(self, opened: link.Link) -> bool:
+        received = opened.receive(clock.start_deadline(_HELLO_TIMEOUT_SECONDS))
         if received.is_error() or not isinstance(received.ok, messages.Hello):
             return False
         hello = received.ok
@@ -130,7 +130,7 @@
             case messages.Cancel():
                 served.cancel(message.request_id)
             case messages.RecordsOffer() | messages.Records():
-                self._records.handle(message, opened)
+                self._synchronizer.handle(message, opened)
             case _:
                 log.warn_bounded("odd-message", f"ignored a {type(message).__name__}")
 
@@ -141,21 +141,21 @@
     def __init__(
         self,
         opened: link.Link,
-        runs: executor.Executor,
-        keys: ledger.Ledger,
-        lost: lost_answers.LostAnswers,
+        run_executor: executor.Executor,
+        key_ledger: ledger.Ledger,
+        undelivered: lost_answers.LostAnswers,
     ) -> None:
         self._link = opened
-        self._runs = runs
-        self._keys = keys
-        self._lost = lost
+        self._executor = run_executor
+        self._key_ledger = key_ledger
+        self._lost_answers = undelivered
         self._lock = threading.Lock()
         self._work_ids: dict[str, str] = {}
 
     def run(self, run: messages.Run) -> None:
         """Run a request, or answer at once why not."""
         with self._lock:
-            is_full = len(self._work_ids) >= _MOST_RUNS_PER_LINK
+            is_full = len(self._work_ids) >= _MAX_RUNS_PER_LINK
         if is_full:
             self._refuse_full(run)
         elif run.repeatable:
@@ -165,26 +165,26 @@
 
     def join(self, join: messages.Join) -> None:
         """Answer what became of a key, now or when it ends."""
-        self._lost.forget(join.customer, join.key)
-        self._keys.join(join, lambda answer: self._answer_once(join, answer))
+        self._lost_answers.forget(join.customer, join.key)
+        self._key_ledger.join(join, lambda answer: self._answer_once(join, answer))
 
     def find(self, find: messages.Find) -> None:
         """Answer at once what is known of a key."""
-        self._answer(find.request_id, self._keys.find(find))
+        self._answer(find.request_id, self._key_ledger.find(find))
 
     def cancel(self, request_id: str) -> None:
         """Stop a request that nobody waits for."""
         with self._lock:
             work_id = self._work_ids.get(request_id)
         if work_id is not None:
-            self._runs.cancel(work_id)
+            self._executor.cancel(work_id)
 
     def cancel_all(self) -> None:
         """Stop what can be stopped of a closed link's requests; nobody can get the answers."""
         with self._lock:
             work_ids = list(self._work_ids.values())
         for work_id in work_ids:
-            self._runs.cancel(work_id)
+            self._executor.cancel(work_id)
 
     def _refuse_full(self, run: messages.Run) -> None:
         """
@@ -196,11 +196,11 @@
         refusal = _refuse("too-many-requests-on-link")
         if run.repeatable:
             self._answer(run.request_id, refusal)
-        elif self._keys.start(run, lambda answer: self._answer_once(run, answer)):
-            self._keys.end(run, refusal)
+        elif self._key_ledger.start(run, lambda answer: self._answer_once(run, answer)):
+            self._key_ledger.end(run, refusal)
 
     def _run_once(self, run: messages.Run) -> None:
-        if not self._keys.start(run, lambda answer: self._answer_once(run, answer)):
+        if not self._key_ledger.start(run, lambda answer: self._answer_once(run, answer)):
             return
         self._submit(run, lambda answer: self._end_once(run, answer))
 
@@ -219,17 +219,17 @@
             cancelled=threading.Event(),
             is_abandoned=lambda: self._link.is_abandoned,
         )
-        self._runs.submit(pending)
+        self._executor.submit(pending)
 
     def _end_repeatable(self, run: messages.Run, answer: messages.Answer) -> None:
-        self._forget(run)
+        self._remove_work(run)
         self._answer(run.request_id, answer)
 
     def _end_once(self, run: messages.Run, answer: messages.Answer) -> None:
-        self._forget(run)
-        self._keys.end(run, answer)
+        self._remove_work(run)
+        self._key_ledger.end(run, answer)
 
-    def _forget(self, run: messages.Run) -> None:
+    def _remove_work(self, run: messages.Run) -> None:
         with self._lock:
             known = self._work_ids.pop(run.request_id, None)
         invariants.require(known is not None, "answer-once", f"{run.request_id} ended twice")
@@ -237,9 +237,9 @@
     def _send(self, message: messages.Message) -> None:
         self._link.send(message)
 
-    def _answer_once(self, asked: messages.Run | messages.Join, answer: messages.Answer) -> None:
-        if not self._answer(asked.request_id, answer):
-            self._lost.note(asked.customer, asked.key, clock.read_now())
+    def _answer_once(self, request: messages.Run | messages.Join, answer: messages.Answer) -> None:
+        if not self._answer(request.request_id, answer):
+            self._lost_answers.note(request.customer, request.key, clock.read_now())
 
     def _answer(self, request_id: str, answer: messages.Answer) -> bool:
         sent = self._link.send(
--- a/programs/oleanderdeal/oleanderdeal/snapshots.py
+++ b/programs/oleanderdeal/oleanderdeal/snapshots.py
@@ -13,9 +13,9 @@
 from oleander_platform import logservice
 from oleanderdeal import configuration
 
-_LOOK_SECONDS = 1.0
-_APPEND_SECONDS = 2.0
-_MOST_RECORDS_BETWEEN = 500
+_CHECK_SECONDS = 1.0
+_APPEND_TIMEOUT_SECONDS = 2.0
+_MAX_RECORDS_BETWEEN = 500
 _JITTER = 0.5
 
 
@@ -30,42 +30,42 @@
     def __init__(
         self,
         service: logservice.LogService,
-        in_force: fold.ConfigurationFold,
+        current_configuration: fold.ConfigurationFold,
         group: tasks.TaskGroup,
         interval_ms: int,
     ) -> None:
         self._service = service
-        self._in_force = in_force
+        self._configuration = current_configuration
         self._group = group
         self._interval_ms = interval_ms
-        self._seen_offset = -1
-        self._due = self._create_deadline()
+        self._latest_snapshot_offset = -1
+        self._next_write_due = self._create_deadline()
 
     def write(self) -> None:
         """Look for a reason to write until the group stops."""
-        while self._group.pause(_LOOK_SECONDS):
-            self._note_others()
+        while self._group.pause(_CHECK_SECONDS):
+            self._update_seen_snapshot()
             if self._is_due():
                 self._append()
 
-    def _note_others(self) -> None:
-        newest = self._in_force.snapshot_offset
-        if newest > self._seen_offset:
-            self._seen_offset = newest
-            self._due = self._create_deadline()
+    def _update_seen_snapshot(self) -> None:
+        newest = self._configuration.snapshot_offset
+        if newest > self._latest_snapshot_offset:
+            self._latest_snapshot_offset = newest
+            self._next_write_due = self._create_deadline()
 
     def _is_due(self) -> bool:
-        applied = self._in_force.applied_offset
-        if applied <= self._seen_offset or self._in_force.is_waiting:
+        applied = self._configuration.applied_offset
+        if applied <= self._latest_snapshot_offset or self._configuration.is_waiting:
             return False
-        is_many = applied - self._seen_offset > _MOST_RECORDS_BETWEEN
-        return self._due.is_past or (is_many and random.random() < _JITTER)
+        is_many = applied - self._latest_snapshot_offset > _MAX_RECORDS_BETWEEN
+        return self._next_write_due.is_past or (is_many and random.random() < _JITTER)
 
     def _append(self) -> None:
-        deadline = clock.start_deadline(_APPEND_SECONDS)
-        snapshot = self._in_force.create_snapshot()
+        deadline = clock.start_deadline(_APPEND_TIMEOUT_SECONDS)
+        snapshot = self._configuration.create_snapshot()
         appended = self._service.append(configuration.STREAM, [snapshot], deadline)
-        self._due = self._create_deadline()
+        self._next_write_due = self._create_deadline()
         if appended.is_error():
             log.warn_bounded("snapshot-not-written", appended.error.detail)
 
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -75,12 +75,12 @@
     ) -> expression.Result[callers.CallerAnswer, once.NotRun]:
         while not request.deadline.is_past:
             link = self._links.find_or_dial(ticket.sidecar, ticket.address)
-            if link.is_refused and not link.is_open:
+            if link.is_connection_refused and not link.is_open:
                 return expression.Ok(callers.tell_unknown("sidecar-gone"))
             answer = self._send(link, request, ticket)
             if answer is not None:
                 return _judge_answer(answer)
-            link.await_open(request.deadline.earlier(_SLICE_SECONDS))
+            link.wait_open(request.deadline.earlier(_SLICE_SECONDS))
         return expression.Ok(callers.tell_unknown("too-late"))
 
     def _send(
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -55,7 +55,7 @@
         settings: UsageSettings,
         log_service: recordlog.RecordLog,
         duty_lease: lease.FencedLease,
-        ownership_: ownership.Ownership,
+        ownership_: ownership.PartitionOwnership,
         counter: usage.UsageCounter,
         duty_platform: platform.DutyPlatform,
         group: tasks.TaskGroup,
--- a/programs/oleanderdeal/oleanderdeal/version_reconciler.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -28,7 +28,7 @@
         self,
         known_servers: directory.Directory,
         order_rights: rights.OrderRights,
-        partition_ownership: ownership.Ownership,
+        partition_ownership: ownership.PartitionOwnership,
         batch_journal: journal.BatchJournal,
         caller: servers.ServerCaller,
         group: tasks.TaskGroup,
