--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -12,7 +12,7 @@
     configuration_reader,
     exit_codes,
     operator_context,
-    order_trail,
+    order_audit,
     output,
     retrying_log,
 )
@@ -126,7 +126,7 @@
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MOST_ROWS)
     offset = 0
     while True:
-        match log.read(order_trail.STREAM, offset):
+        match log.read(order_audit.STREAM, offset):
             case expression.Result(tag="ok", ok=page):
                 rows.extend(_list_order(record) for record in page.records)
             case expression.Result(error=error):
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -224,7 +224,7 @@
         log.logger.bind(event="started", callers=self._settings.api_address).info("serving")
         reload = lifecycle.ReloadSignal()
         while not stop.wait(_RELOAD_INTERVAL_SECONDS):
-            self._adapter.reload(reload.take())
+            self._adapter.reload(reload.consume())
         self._drain()
         log.logger.bind(event="stopped").info("nothing is in progress")
 
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -29,7 +29,7 @@
     ticket_dispatch,
     tickets,
     trainer_api,
-    trainer_runs,
+    trainer_incarnations,
     version_publisher,
 )
 
@@ -80,7 +80,7 @@
         versions = version_publisher.VersionPublisher(
             log_service, self._configuration, self._group
         )
-        self._trainer_incarnations = trainer_runs.TrainerRuns(
+        self._trainer_incarnations = trainer_incarnations.TrainerIncarnations(
             log_service, self._configuration, self._steps, self._group, chosen.name
         )
         self._snapshot_writer = snapshots.SnapshotWriter(
@@ -114,7 +114,7 @@
 
     def run(self, stop: lifecycle.StopSignal) -> None:
         """Serve until told to stop, then finish what is in progress."""
-        self._follower.add_change_listener(self._trainer_incarnations.note_change)
+        self._follower.add_change_listener(self._trainer_incarnations.update_steps)
         self._group.keep(self._follower.follow)
         self._group.keep(self._host_follower.follow)
         self._group.keep(self._trainer_incarnations.write)
--- a/programs/oleanderdeal/oleanderdeal/entry_clients.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_clients.py
@@ -60,26 +60,26 @@
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryConfiguration, EntryError]:
         """Return how far an entry is."""
-        return self._get(url, "/v1/configuration", deadline).bind(_read_configuration)
+        return self._get_object(url, "/v1/configuration", deadline).bind(_parse_configuration)
 
     def read_report(
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryReport, EntryError]:
         """Return an entry's counts."""
-        return self._get(url, "/v1/report", deadline).bind(_read_report)
+        return self._get_object(url, "/v1/report", deadline).bind(_parse_report)
 
-    def _get(
+    def _get_object(
         self, url: str, path: str, deadline: clock.Deadline
     ) -> expression.Result[dict[str, typing.Any], EntryError]:
         request = http_exchange.Request("GET", path, headers=self._headers)
         match http_exchange.HttpCaller(url).call_once(request, deadline):
             case expression.Result(tag="ok", ok=answer):
-                return _read_object(answer)
+                return _parse_object(answer)
             case expression.Result(error=error):
                 return expression.Error(EntryError(f"can't be reached: {error.detail}"))
 
 
-def _read_object(
+def _parse_object(
     answer: http_exchange.Answer,
 ) -> expression.Result[dict[str, typing.Any], EntryError]:
     if answer.status != http.HTTPStatus.OK:
@@ -93,7 +93,7 @@
     return expression.Error(EntryError("answered no JSON object"))
 
 
-def _read_configuration(
+def _parse_configuration(
     fields: dict[str, typing.Any],
 ) -> expression.Result[EntryConfiguration, EntryError]:
     applied = fields.get("applied_offset")
@@ -103,7 +103,7 @@
     return expression.Error(EntryError("answered no applied_offset"))
 
 
-def _read_report(fields: dict[str, typing.Any]) -> expression.Result[EntryReport, EntryError]:
+def _parse_report(fields: dict[str, typing.Any]) -> expression.Result[EntryReport, EntryError]:
     counts = fields.get("counts")
     if not isinstance(counts, dict):
         return expression.Error(EntryError("answered no counts"))
--- a/programs/oleanderdeal/oleanderdeal/hosts.py
+++ b/programs/oleanderdeal/oleanderdeal/hosts.py
@@ -6,7 +6,7 @@
 from oleanderdeal import peers
 
 _POLL_SECONDS = 0.5
-_READ_SECONDS = 2.0
+_READ_TIMEOUT_SECONDS = 2.0
 
 
 class HostFollower:
@@ -21,42 +21,42 @@
     def __init__(
         self,
         name: str,
-        listed: hostlist.HostList,
+        host_list: hostlist.HostList,
         links: peers.PeerLinks,
-        routes: router.Router,
-        most_peers: int,
+        peer_router: router.Router,
+        max_peers: int,
         group: tasks.TaskGroup,
     ) -> None:
         self._name = name
-        self._listed = listed
+        self._host_list = host_list
         self._links = links
-        self._routes = routes
-        self._most_peers = most_peers
+        self._router = peer_router
+        self._max_peers = max_peers
         self._group = group
 
     def follow(self) -> None:
         """Read the list until the group stops."""
         while not self._group.is_stopping:
-            self._read()
+            self._read_list()
             self._group.pause(_POLL_SECONDS)
 
-    def _read(self) -> None:
-        read = self._listed.read(clock.start_deadline(_READ_SECONDS))
+    def _read_list(self) -> None:
+        read = self._host_list.read(clock.start_deadline(_READ_TIMEOUT_SECONDS))
         if read.is_error():
             log.warn_bounded("hosts-unread", f"going on with the last list: {read.error.detail}")
             return
         if not read.ok and self._links.list_links():
             log.warn_bounded("hosts-empty", "going on with the last list: this one is empty")
             return
-        chosen = self._choose(read.ok)
+        chosen = self._choose_subset(read.ok)
         self._links.set_hosts(chosen, covers_all=len(chosen) == len(read.ok))
         leaving = (host for host in read.ok if host.state is hostlist.HostState.LEAVING)
-        self._routes.set_listed_leaving(frozenset(host.name for host in leaving))
+        self._router.set_listed_leaving(frozenset(host.name for host in leaving))
 
-    def _choose(self, listed: tuple[hostlist.Host, ...]) -> list[hostlist.Host]:
+    def _choose_subset(self, listed: tuple[hostlist.Host, ...]) -> list[hostlist.Host]:
         by_name = {host.name: host for host in listed}
-        described = [
+        candidates = [
             subset.SubsetHost(host.name, host.failure_domain, host.backend) for host in listed
         ]
-        chosen = subset.choose_subset(self._name, described, self._most_peers)
+        chosen = subset.choose_subset(self._name, candidates, self._max_peers)
         return [by_name[name] for name in chosen]
--- a/programs/oleanderdeal/oleanderdeal/lifecycle.py
+++ b/programs/oleanderdeal/oleanderdeal/lifecycle.py
@@ -19,7 +19,7 @@
         self._received = threading.Event()
         signal.signal(signal.SIGHUP, self._receive)
 
-    def take(self) -> bool:
+    def consume(self) -> bool:
         """Return whether the signal came since the last call."""
         was_received = self._received.is_set()
         self._received.clear()
--- a/programs/oleanderdeal/oleanderdeal/order_trail.py
+++ b/programs/oleanderdeal/oleanderdeal/order_audit.py
@@ -8,14 +8,14 @@
 from oleanderdeal import weights
 
 STREAM = "orders"
-_MOST_WAITING = 200
-_MOST_IN_APPEND = 50
-_APPEND_SECONDS = 2.0
+_MAX_PENDING = 200
+_MAX_RECORDS_PER_APPEND = 50
+_APPEND_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 5.0
-_TAKE_SECONDS = 0.5
+_QUEUE_WAIT_SECONDS = 0.5
 
 
-class OrderTrail:
+class OrderAuditLog:
     """
     A bounded queue of reports; at the bound the newest is dropped and counted in the log.
 
@@ -27,7 +27,7 @@
         self._host = host
         self._service = service
         self._group = group
-        self._waiting: queue.Queue[dict[str, typing.Any]] = queue.Queue(_MOST_WAITING)
+        self._pending: queue.Queue[dict[str, typing.Any]] = queue.Queue(_MAX_PENDING)
 
     def report(self, order: weights.OrderReport) -> None:
         """Take a report; never blocks."""
@@ -40,25 +40,25 @@
             "outcome": order.outcome,
         }
         try:
-            self._waiting.put_nowait(value)
+            self._pending.put_nowait(value)
         except queue.Full:
             log.warn_bounded("orders-dropped", "the log is down for too long to keep the trail")
 
     def write(self) -> None:
         """Append what waits until the group stops."""
         while not self._group.is_stopping:
-            values = self._take()
+            values = self._take_batch()
             while values and not self._group.is_stopping:
-                deadline = clock.start_deadline(_APPEND_SECONDS)
+                deadline = clock.start_deadline(_APPEND_TIMEOUT_SECONDS)
                 if self._service.append(STREAM, values, deadline).is_ok():
                     break
                 self._group.pause(_RETRY_SECONDS)
 
-    def _take(self) -> list[dict[str, typing.Any]]:
+    def _take_batch(self) -> list[dict[str, typing.Any]]:
         try:
-            values = [self._waiting.get(timeout=_TAKE_SECONDS)]
+            values = [self._pending.get(timeout=_QUEUE_WAIT_SECONDS)]
         except queue.Empty:
             return []
-        while len(values) < _MOST_IN_APPEND and not self._waiting.empty():
-            values.append(self._waiting.get_nowait())
+        while len(values) < _MAX_RECORDS_PER_APPEND and not self._pending.empty():
+            values.append(self._pending.get_nowait())
         return values
--- a/programs/oleanderdeal/oleanderdeal/sampling.py
+++ b/programs/oleanderdeal/oleanderdeal/sampling.py
@@ -11,11 +11,11 @@
 from oleander_wire import messages
 from oleanderdeal import dispatch
 
-_IDLE_SECONDS = 0.05
-_SAMPLE_SECONDS = 600.0
-_LEAST_PAUSE_SECONDS = 0.02
-_MOST_PAUSE_SECONDS = 1.0
-_MOST_LAST_PEERS = 32768
+_POLL_SECONDS = 0.05
+_SAMPLE_TIMEOUT_SECONDS = 600.0
+_MIN_RETRY_PAUSE_SECONDS = 0.02
+_MAX_RETRY_PAUSE_SECONDS = 1.0
+_MAX_LAST_PEERS = 32768
 
 
 class LastPeers:
@@ -28,21 +28,21 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._names: dict[tuple[str, str, int, int], str] = {}
+        self._peer_names: dict[tuple[str, str, int, int], str] = {}
 
-    def note(self, step: sample_steps.Step, number: int, name: str) -> None:
+    def record(self, step: sample_steps.Step, number: int, peer_name: str) -> None:
         """Remember the sidecar that a sample is given to."""
         key = (step.customer, step.trainer, step.step, number)
         with self._lock:
-            self._names.pop(key, None)
-            self._names[key] = name
-            while len(self._names) > _MOST_LAST_PEERS:
-                self._names.pop(next(iter(self._names)))
+            self._peer_names.pop(key, None)
+            self._peer_names[key] = peer_name
+            while len(self._peer_names) > _MAX_LAST_PEERS:
+                self._peer_names.pop(next(iter(self._peer_names)))
 
     def find(self, step: sample_steps.Step, number: int) -> frozenset[str]:
         """Return the sidecar to avoid, if any."""
         with self._lock:
-            name = self._names.get((step.customer, step.trainer, step.step, number))
+            name = self._peer_names.get((step.customer, step.trainer, step.step, number))
         return frozenset() if name is None else frozenset((name,))
 
 
@@ -51,22 +51,22 @@
 
     def __init__(
         self,
-        made_for: collector.StepCollector,
+        step_collector: collector.StepCollector,
         work: sample_work.SampleWork,
         last_peers: "LastPeers",
     ) -> None:
-        self._made_for = made_for
+        self._collector = step_collector
         self._last_peers = last_peers
         self._work = work
         self._cancelled = threading.Event()
 
     def see_peer(self, name: str) -> None:
         """Remember who makes the sample, so that its next attempt goes elsewhere."""
-        self._last_peers.note(self._made_for.step, self._work.number, name)
+        self._last_peers.record(self._collector.step, self._work.number, name)
 
     def see_tokens(self, tokens: messages.Tokens) -> None:
         """Add the next tokens."""
-        self._made_for.note_progress(
+        self._collector.note_progress(
             self._work.work_id, tokens.text, tokens.tokens, tokens.version
         )
 
@@ -80,10 +80,10 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Taken:
+class _StepWork:
     """Work and the step that it belongs to."""
 
-    made_for: collector.StepCollector
+    step_collector: collector.StepCollector
     work: sample_work.SampleWork
 
 
@@ -100,18 +100,18 @@
         dispatcher: dispatch.Dispatcher,
         configuration: fold.ConfigurationFold,
         group: tasks.TaskGroup,
-        most_samples: int,
+        max_samples: int,
     ) -> None:
         self._steps = steps
         self._dispatcher = dispatcher
         self._configuration = configuration
         self._group = group
-        self._slots = threading.BoundedSemaphore(most_samples)
+        self._slots = threading.BoundedSemaphore(max_samples)
         self._lock = threading.Lock()
         self._observers: dict[str, SampleObserver] = {}
         self._draining = threading.Event()
         self._last_peers = LastPeers()
-        self._turn = 0
+        self._next_position = 0
 
     @property
     def is_idle(self) -> bool:
@@ -127,70 +127,70 @@
         while not self._group.is_stopping:
             self._cancel_all(self._steps.take_cancellations())
             metrics.record_gauge(metrics.SAMPLES_RUNNING, len(self._observers))
-            if not self._slots.acquire(timeout=_IDLE_SECONDS):
+            if not self._slots.acquire(timeout=_POLL_SECONDS):
                 continue
-            taken = None if self._draining.is_set() else self._take_work()
-            if taken is None:
+            step_work = None if self._draining.is_set() else self._take_work()
+            if step_work is None:
                 self._slots.release()
-                self._group.pause(_IDLE_SECONDS)
+                self._group.pause(_POLL_SECONDS)
             else:
-                self._start(taken)
+                self._start(step_work)
 
-    def _start(self, taken: _Taken) -> None:
-        observer = SampleObserver(taken.made_for, taken.work, self._last_peers)
+    def _start(self, step_work: _StepWork) -> None:
+        observer = SampleObserver(step_work.step_collector, step_work.work, self._last_peers)
         with self._lock:
-            self._observers[taken.work.work_id] = observer
-        self._group.start(lambda: self._run_slot(taken, observer))
+            self._observers[step_work.work.work_id] = observer
+        self._group.start(lambda: self._run_slot(step_work, observer))
 
-    def _run_slot(self, taken: _Taken, observer: SampleObserver) -> None:
+    def _run_slot(self, step_work: _StepWork, observer: SampleObserver) -> None:
         try:
-            self._make(taken.made_for, taken.work, observer)
+            self._make_sample(step_work.step_collector, step_work.work, observer)
         finally:
             with self._lock:
-                self._observers.pop(taken.work.work_id, None)
+                self._observers.pop(step_work.work.work_id, None)
             self._slots.release()
 
-    def _take_work(self) -> _Taken | None:
+    def _take_work(self) -> _StepWork | None:
         open_steps = self._steps.collectors
-        self._turn += 1
+        self._next_position += 1
         for position in range(len(open_steps)):
-            made_for = open_steps[(position + self._turn) % len(open_steps)]
-            work = made_for.next_work()
+            step_collector = open_steps[(position + self._next_position) % len(open_steps)]
+            work = step_collector.next_work()
             if work is not None:
-                return _Taken(made_for, work)
+                return _StepWork(step_collector, work)
         return None
 
-    def _make(
+    def _make_sample(
         self,
-        made_for: collector.StepCollector,
+        step_collector: collector.StepCollector,
         work: sample_work.SampleWork,
         observer: SampleObserver,
     ) -> None:
-        terms = self._configuration.find_contract(made_for.step.customer)
-        trainer = terms.find_trainer(made_for.step.trainer) if terms else None
+        terms = self._configuration.find_contract(step_collector.step.customer)
+        trainer = terms.find_trainer(step_collector.step.trainer) if terms else None
         if terms is None or trainer is None:
-            made_for.fail_work(work.work_id)
+            step_collector.fail_work(work.work_id)
             log.warn_bounded("sample-without-contract", "a step's contract is no longer in force")
-            self._group.pause(_MOST_PAUSE_SECONDS)
+            self._group.pause(_MAX_RETRY_PAUSE_SECONDS)
             return
-        self._run(made_for, work, _write_job(work, terms, trainer), observer)
+        self._dispatch_sample(step_collector, work, _create_job(work, terms, trainer), observer)
 
-    def _run(
+    def _dispatch_sample(
         self,
-        made_for: collector.StepCollector,
+        step_collector: collector.StepCollector,
         work: sample_work.SampleWork,
         job: dispatch.Job,
         observer: SampleObserver,
     ) -> None:
-        deadline = clock.start_deadline(_SAMPLE_SECONDS)
-        avoided = self._last_peers.find(made_for.step, work.number)
-        ended = self._dispatcher.run_once(job, deadline, observer, avoided)
-        if ended.answer.outcome is messages.Outcome.DONE:
-            self._cancel_all(made_for.finish_work(work.work_id).losers)
+        deadline = clock.start_deadline(_SAMPLE_TIMEOUT_SECONDS)
+        excluded_peers = self._last_peers.find(step_collector.step, work.number)
+        result = self._dispatcher.run_once(job, deadline, observer, excluded_peers)
+        if result.answer.outcome is messages.Outcome.DONE:
+            self._cancel_all(step_collector.finish_work(work.work_id).losers)
             return
-        made_for.fail_work(work.work_id)
-        pause = ended.answer.retry_after_ms / 1000
-        self._group.pause(min(_MOST_PAUSE_SECONDS, max(_LEAST_PAUSE_SECONDS, pause)))
+        step_collector.fail_work(work.work_id)
+        pause = result.answer.retry_after_ms / 1000
+        self._group.pause(min(_MAX_RETRY_PAUSE_SECONDS, max(_MIN_RETRY_PAUSE_SECONDS, pause)))
 
     def _cancel_all(self, work_ids: list[str] | tuple[str, ...]) -> None:
         with self._lock:
@@ -200,7 +200,7 @@
                 observer.cancel()
 
 
-def _write_job(
+def _create_job(
     work: sample_work.SampleWork, terms: contract.Contract, trainer: contract.TrainerTerms
 ) -> dispatch.Job:
     return dispatch.Job(
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -16,7 +16,7 @@
     exit_codes,
     ledger,
     lifecycle,
-    order_trail,
+    order_audit,
     runners,
     setting_table,
     settings,
@@ -48,7 +48,7 @@
             chosen.configuration_poll_ms,
             is_peer_fed=lambda: self._links.is_linked,
         )
-        self._order_log = order_trail.OrderTrail(chosen.name, log_service, self._group)
+        self._order_log = order_audit.OrderAuditLog(chosen.name, log_service, self._group)
         self._weight_reconciler: weights.WeightReconciler | None = None
         self._queue = admission.AdmissionQueue(
             chosen.slots, chosen.queue_length, jitter=random.Random()
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -9,12 +9,12 @@
 from oleander_base import clock, findings
 from oleander_contracts import contract, fold
 from oleander_samples import collector, pulls, readers, registry
-from oleanderdeal import accounts, gates, http_messages, trainer_runs, version_publisher
+from oleanderdeal import accounts, gates, http_messages, trainer_incarnations, version_publisher
 
-_CALL_SECONDS = 5.0
-_MOST_BODY_BYTES = 4096
-_NUMBER = re.compile(r"[0-9]{1,15}")
-_RETRY_MS = 1000
+_PUBLISH_TIMEOUT_SECONDS = 5.0
+_MAX_BODY_BYTES = 4096
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,15}")
+_RETRY_AFTER_MS = 1000
 
 
 class TrainerApi:
@@ -25,36 +25,38 @@
         configuration: fold.ConfigurationFold,
         steps: registry.StepRegistry,
         versions: version_publisher.VersionPublisher,
-        runs: trainer_runs.TrainerRuns,
-        own_url: collections.abc.Callable[[], str],
+        incarnations: trainer_incarnations.TrainerIncarnations,
+        find_own_url: collections.abc.Callable[[], str],
         is_draining: collections.abc.Callable[[], bool],
         threads: gates.ThreadGates,
     ) -> None:
         self._configuration = configuration
         self._steps = steps
         self._versions = versions
-        self._runs = runs
-        self._own_url = own_url
+        self._incarnations = incarnations
+        self._find_own_url = find_own_url
         self._is_draining = is_draining
         self._threads = threads
 
     def put_version(
-        self, request: http_messages.HttpRequest, customer: str, model: str, text: str
+        self, request: http_messages.HttpRequest, customer: str, model: str, version_text: str
     ) -> http_messages.HttpAnswer:
         """Announce weights; answers once the log holds them."""
         terms = self._configuration.find_contract(customer)
         if terms is None or all(item.model != model for item in terms.trainers):
-            return _answer_missing("no-such-model")
+            return _answer_not_found("no-such-model")
         uri = _read_uri(request.body)
-        if not _NUMBER.fullmatch(text) or uri is None:
+        if not _NUMBER_PATTERN.fullmatch(version_text) or uri is None:
             place = "body.uri" if uri is None else "path version"
             return http_messages.answer_findings(
                 findings.Findings((findings.Finding(place, "is missing or wrong"),))
             )
-        deadline = clock.start_deadline(_CALL_SECONDS)
-        published = self._versions.publish(customer, model, int(text), uri, deadline)
+        deadline = clock.start_deadline(_PUBLISH_TIMEOUT_SECONDS)
+        published = self._versions.publish(customer, model, int(version_text), uri, deadline)
         if published.is_ok():
-            return http_messages.answer_json({"version": int(text), "offset": published.ok})
+            return http_messages.answer_json(
+                {"version": int(version_text), "offset": published.ok}
+            )
         error = published.error
         return http_messages.answer_problem(
             http_messages.Problem(
@@ -69,38 +71,38 @@
         if self._is_draining():
             return http_messages.answer_problem(
                 http_messages.Problem(
-                    503, "This entry is leaving.", "not-run", "leaving", _RETRY_MS
+                    503, "This entry is leaving.", "not-run", "leaving", _RETRY_AFTER_MS
                 )
             )
         terms = self._find_terms(customer, trainer)
         if terms is None:
-            return _answer_missing("no-such-trainer")
+            return _answer_not_found("no-such-trainer")
         step = readers.read_step(customer, trainer, step_text, request.body)
         if step.is_error():
             return http_messages.answer_findings(step.error)
-        if self._runs.is_superseded(customer, trainer, step.ok.incarnation):
+        if self._incarnations.is_superseded(customer, trainer, step.ok.incarnation):
             return _refuse_step(registry.RefusalReason.SUPERSEDED)
         put = self._steps.put(step.ok, terms)
         if put.is_error():
             return _refuse_step(put.error.reason)
         return http_messages.answer_json(
-            {"step": step.ok.step, "collector": self._own_url(), "samples": step.ok.total}
+            {"step": step.ok.step, "collector": self._find_own_url(), "samples": step.ok.total}
         )
 
     def pull(
         self, request: http_messages.HttpRequest, customer: str, trainer: str, step_text: str
     ) -> http_messages.HttpAnswer:
         """Answer a pull with samples that the trainer does not have."""
-        read = readers.read_pull(request.body)
-        if read.is_error():
-            return http_messages.answer_findings(read.error)
-        found = None
-        if _NUMBER.fullmatch(step_text):
-            found = self._steps.find(customer, trainer, int(step_text))
-        if found is None:
-            return _answer_missing("step-unknown")
+        parsed = readers.read_pull(request.body)
+        if parsed.is_error():
+            return http_messages.answer_findings(parsed.error)
+        step_collector = None
+        if _NUMBER_PATTERN.fullmatch(step_text):
+            step_collector = self._steps.find(customer, trainer, int(step_text))
+        if step_collector is None:
+            return _answer_not_found("step-unknown")
         started_at = clock.read_now()
-        pulled = self._pull(found, read.ok)
+        pulled = self._pull(step_collector, parsed.ok)
         waited_ms = int((clock.read_now() - started_at) * 1000)
         accounts.count_samples(customer, trainer, "idle_ms", waited_ms)
         if pulled.is_error():
@@ -114,19 +116,19 @@
         )
 
     def _pull(
-        self, found: collector.StepCollector, pull: pulls.Pull
+        self, step_collector: collector.StepCollector, pull: pulls.Pull
     ) -> expression.Result[pulls.PullAnswer, pulls.PullRefusal]:
         """Pull, waiting only while that leaves threads for others."""
         if not self._threads.take(gates.Gate.PULL):
-            return found.pull(pull, 0.0)
+            return step_collector.pull(pull, 0.0)
         try:
-            return found.pull(pull, pull.wait_ms / 1000)
+            return step_collector.pull(pull, pull.wait_ms / 1000)
         finally:
             self._threads.give_back(gates.Gate.PULL)
 
     def delete_step(self, customer: str, trainer: str, step_text: str) -> http_messages.HttpAnswer:
         """End a step early; one that is not known here has ended already."""
-        if _NUMBER.fullmatch(step_text):
+        if _NUMBER_PATTERN.fullmatch(step_text):
             self._steps.delete(customer, trainer, int(step_text))
         return http_messages.answer_json({})
 
@@ -139,7 +141,7 @@
     if reason is registry.RefusalReason.TOO_MANY:
         return http_messages.answer_problem(
             http_messages.Problem(
-                503, "Too many steps are open here.", "not-run", reason.value, _RETRY_MS
+                503, "Too many steps are open here.", "not-run", reason.value, _RETRY_AFTER_MS
             )
         )
     return http_messages.answer_problem(
@@ -149,14 +151,14 @@
 
 def _read_uri(body: bytes) -> str | None:
     try:
-        content = json.loads(body[:_MOST_BODY_BYTES])
+        content = json.loads(body[:_MAX_BODY_BYTES])
     except ValueError:
         return None
     uri = content.get("uri") if isinstance(content, dict) else None
     return uri if isinstance(uri, str) else None
 
 
-def _answer_missing(reason: str) -> http_messages.HttpAnswer:
+def _answer_not_found(reason: str) -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
         http_messages.Problem(404, "There is no such thing here.", "not-run", reason)
     )
@@ -165,7 +167,7 @@
 def _refuse_pull(refusal: pulls.PullRefusal) -> http_messages.HttpAnswer:
     match refusal.reason:
         case pulls.RefusalReason.STEP_UNKNOWN:
-            return _answer_missing("step-unknown")
+            return _answer_not_found("step-unknown")
         case pulls.RefusalReason.BAD_HELD:
             return http_messages.answer_findings(refusal.found)
         case _:
--- a/programs/oleanderdeal/oleanderdeal/trainer_runs.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_incarnations.py
@@ -14,13 +14,13 @@
 from oleander_samples import registry
 from oleanderdeal import configuration
 
-_MOST_WAITING = 256
-_TAKE_SECONDS = 0.5
-_APPEND_SECONDS = 2.0
+_MAX_PENDING = 256
+_QUEUE_WAIT_SECONDS = 0.5
+_APPEND_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 1.0
 
 
-class TrainerRuns:
+class TrainerIncarnations:
     """
     Tells the log of new runs, and the step registry of what the log says.
 
@@ -31,30 +31,32 @@
     def __init__(
         self,
         service: logservice.LogService,
-        in_force: fold.ConfigurationFold,
+        current_configuration: fold.ConfigurationFold,
         steps: registry.StepRegistry,
         group: tasks.TaskGroup,
-        by: str,
+        process_name: str,
     ) -> None:
         self._service = service
-        self._in_force = in_force
+        self._configuration = current_configuration
         self._steps = steps
         self._group = group
-        self._by = by
-        self._waiting: queue.Queue[records.TrainerRecord] = queue.Queue(_MOST_WAITING)
+        self._process_name = process_name
+        self._pending: queue.Queue[records.TrainerRecord] = queue.Queue(_MAX_PENDING)
 
     def is_superseded(self, customer: str, trainer: str, incarnation: int) -> bool:
         """Return whether a newer run is known; take this one in if not."""
-        newest = self._in_force.find_incarnation(customer, trainer)
+        newest = self._configuration.find_incarnation(customer, trainer)
         if incarnation > newest:
-            self._tell(records.TrainerRecord(customer, trainer, incarnation, self._by))
+            self._enqueue(
+                records.TrainerRecord(customer, trainer, incarnation, self._process_name)
+            )
         return incarnation < newest
 
-    def note_change(self) -> None:
+    def update_steps(self) -> None:
         """Hand the newest runs to the step registry."""
-        for terms in self._in_force.list_contracts():
+        for terms in self._configuration.list_contracts():
             for trainer in terms.trainers:
-                newest = self._in_force.find_incarnation(terms.customer, trainer.name)
+                newest = self._configuration.find_incarnation(terms.customer, trainer.name)
                 if newest >= 0:
                     self._steps.note_incarnation(terms.customer, trainer.name, newest)
 
@@ -62,24 +64,24 @@
         """Append what waits until the group stops; an outage delays it."""
         while not self._group.is_stopping:
             try:
-                record = self._waiting.get(timeout=_TAKE_SECONDS)
+                record = self._pending.get(timeout=_QUEUE_WAIT_SECONDS)
             except queue.Empty:
                 continue
             self._append(record)
 
     def _append(self, record: records.TrainerRecord) -> None:
         while not self._group.is_stopping:
-            if record.incarnation <= self._in_force.find_incarnation(
+            if record.incarnation <= self._configuration.find_incarnation(
                 record.customer, record.trainer
             ):
                 return
-            deadline = clock.start_deadline(_APPEND_SECONDS)
+            deadline = clock.start_deadline(_APPEND_TIMEOUT_SECONDS)
             if self._service.append(configuration.STREAM, [record.to_value()], deadline).is_ok():
                 return
             self._group.pause(_RETRY_SECONDS)
 
-    def _tell(self, record: records.TrainerRecord) -> None:
+    def _enqueue(self, record: records.TrainerRecord) -> None:
         try:
-            self._waiting.put_nowait(record)
+            self._pending.put_nowait(record)
         except queue.Full:
             log.warn_bounded("trainer-runs-dropped", "too much news of trainers waits for the log")
