--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -65,7 +65,7 @@
     ),
     "orphans": (
         f"{_PROGRAM}/batch_ownership.py",
-        "        if batch.runner or not self._partition_ownership.is_believed:",
+        "        if batch.runner or not self._partition_ownership.is_assignment_valid:",
         "        if batch:",
     ),
     "window-sizes": (
@@ -130,7 +130,7 @@
         "_WINDOWED_PROBE_FRACTION = 0.0",
     ),
     "crowd": (
-        f"{_PROGRAM}/version_keeper.py",
+        f"{_PROGRAM}/version_reconciler.py",
         "        if not self._plan.may_waves_overlap:",
         "        if order:",
     ),
--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         batch_journal: journal.BatchJournal,
-        partition_ownership: ownership.Ownership,
+        partition_ownership: ownership.PartitionOwnership,
         name: str,
     ) -> None:
         self._journal = batch_journal
@@ -62,7 +62,7 @@
 
     def must_stop(self, batch: fold.Batch) -> bool:
         """Return whether this process must stop a batch, as another may run or have taken it."""
-        if not self._partition_ownership.is_believed:
+        if not self._partition_ownership.is_assignment_valid:
             return True
         return batch.runner not in (self._name, self._previous_runners.get(batch.batch_id, ""))
 
@@ -104,7 +104,7 @@
         and reaches the log. It must have read the index up to the timeout, or it could run a batch
         that the owner has taken.
         """
-        if batch.runner or not self._partition_ownership.is_believed:
+        if batch.runner or not self._partition_ownership.is_assignment_valid:
             return False
         if not self._journal.was_accepted_here(batch.batch_id):
             return False
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -111,7 +111,7 @@
                 continue
             self._ownership.announce(self._list_running())
             for run in list(self._runs.values()):
-                self._checkpoints.keep(run, _MIN_CHECKPOINT_EVENTS)
+                self._checkpoints.save(run, _MIN_CHECKPOINT_EVENTS)
             self._checkpoint_wanted.wait(_CHECKPOINT_INTERVAL_SECONDS)
             self._checkpoint_wanted.clear()
 
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -12,9 +12,9 @@
     configuration_reader,
     exit_codes,
     operator_context,
-    order_trail,
+    order_audit,
     output,
-    patient_log,
+    retrying_log,
 )
 
 _MOST_ROWS = 10_000
@@ -121,12 +121,12 @@
     return "a record"
 
 
-def _print_orders(context: operator_context.OperatorContext, log: patient_log.PatientLog) -> int:
+def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
     """Print the orders to engines; a stream that nobody wrote to is empty."""
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MOST_ROWS)
     offset = 0
     while True:
-        match log.read(order_trail.STREAM, offset):
+        match log.read(order_audit.STREAM, offset):
             case expression.Result(tag="ok", ok=page):
                 rows.extend(_list_order(record) for record in page.records)
             case expression.Result(error=error):
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -80,12 +80,12 @@
     ) -> expression.Result[callers.CallerAnswer, claim_dispatch.NotRun]:
         while not request.deadline.is_past:
             link = self._links.find_or_dial(ticket.sidecar, ticket.address)
-            if link.is_refused and not link.is_open:
+            if link.is_connection_refused and not link.is_open:
                 return expression.Ok(callers.build_unknown("sidecar-gone"))
             answer = self._send(link, request, ticket)
             if answer is not None:
                 return _classify_answer(answer)
-            link.await_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
+            link.wait_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
         return expression.Ok(callers.build_unknown("too-late"))
 
     def _send(
