--- a/libs/admission/oleander_admission/__init__.py
+++ b/libs/admission/oleander_admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who goes first at a backend server, and who is refused."""
+"""Admission control and scheduling in front of a backend server."""
 
 from oleander_admission import admission, work
 
--- a/libs/admission/oleander_admission/admission.py
+++ b/libs/admission/oleander_admission/admission.py
@@ -1,4 +1,4 @@
-"""The queue in front of a backend server's slots: who is let in and who goes next."""
+"""The queue in front of a backend server's slots: admission, scheduling and eviction."""
 
 import collections.abc
 import dataclasses
@@ -14,14 +14,14 @@
 
 _PREEMPTIBLE = frozenset({contract.Priority.SAMPLING, contract.Priority.BACKGROUND})
 _MIN_RUNNING = 2
-"""What runs tells of the backend server only from so many on."""
+"""Running works from which on their elapsed times count as a sign of a slow server."""
 _MIN_RETRY_AFTER_MS = 50
 _MAX_RETRY_AFTER_MS = 60_000
 
 
 @dataclasses.dataclass(slots=True)
 class _RunningWork:
-    """Work that was handed out."""
+    """Work that was taken and holds a slot."""
 
     selected: priority_classes.Selection
     started_at: float
@@ -29,12 +29,13 @@
 
 class AdmissionQueue:
     """
-    Waiting and running work of one backend server; safe to use from several threads.
+    Waiting and running work of one backend server; thread-safe.
 
-    At most `most_waiting` works wait. At that bound a newcomer displaces the newest work of the
-    least urgent class below its own, or of a customer of its own class that has more waiting for
-    its share; otherwise the newcomer is refused. One in twenty places is kept for each class.
-    Work that was dropped counts too: once as many are not collected, all newcomers are refused.
+    At most `max_waiting` works wait. When the queue is full, new work evicts the newest work of
+    the least urgent class below its own, or that of a customer of its own class with a longer
+    backlog relative to its share; otherwise the new work is refused. One in twenty places is
+    reserved for each class. Dropped work is kept until `take_dropped`; once `max_waiting` dropped
+    works are not collected, all new work is refused, which bounds the memory.
     Work that was taken holds its slot until `finish`.
     """
 
@@ -52,30 +53,31 @@
         self._condition = threading.Condition()
         self._waiting = priority_classes.WaitingWork()
         self._running: dict[str, _RunningWork] = {}
-        """In the order in which it was taken."""
+        """Running work by its id, in the order in which it was taken."""
         self._dropped: list[work.DroppedWork] = []
         self._estimator = estimator.ServiceEstimator()
         self._is_leaving = False
 
     @property
     def queued(self) -> int:
-        """How much work waits."""
+        """Number of works that wait."""
         with self._condition:
             return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """How much work was taken and not finished."""
+        """Number of works that were taken and not finished."""
         with self._condition:
             return len(self._running)
 
     def submit(self, item: work.Work) -> expression.Result[None, work.Refusal]:
         """
-        Let work in or refuse it, at once; refused work does not run.
+        Accept or refuse work without blocking; refused work is never run.
 
-        The predicted cost decides too: a prediction longer than the deadline allows is refused
-        even by an idle queue, so a caller without measurements should predict low.
-        A `work_id` that waits or runs already is a fault of the program and raises.
+        Work is refused if the queue is closed, if it is expected to end after its deadline, or if
+        the queue is full. Work whose predicted cost alone exceeds the deadline is refused even by
+        an idle queue, so callers without measurements should predict a low cost.
+        Raises if a work with this `work_id` already waits or runs.
         """
         with self._condition:
             now = self._read_now()
@@ -95,7 +97,7 @@
             return expression.Ok(None)
 
     def take(self, seconds: float) -> work.Work | None:
-        """Wait for a free slot and work to run in it; return nothing after so long."""
+        """Wait for work and a free slot to run it; return None once `seconds` have passed."""
         deadline = clock.start_deadline(seconds)
         with self._condition:
             while True:
@@ -108,7 +110,7 @@
                 self._condition.wait(remaining)
 
     def take_dropped(self) -> list[work.DroppedWork]:
-        """Return accepted work that will not run after all; ask often, its callers wait."""
+        """Return accepted work dropped since the last call; call often, as its callers wait."""
         with self._condition:
             self._drop_expired(self._read_now())
             dropped = self._dropped
@@ -117,10 +119,10 @@
 
     def finish(self, work_id: str, service_ms: float, completed: bool = True) -> None:
         """
-        Free the slot of work that was taken and charge its customer what it really took.
+        Free the slot of taken work, and charge its customer the measured service time.
 
-        Work that was cancelled or preempted is not `completed`: its time says nothing of how long
-        such work takes. An id that does not run is ignored, so finishing twice does no harm.
+        Pass `completed=False` for work that was cancelled or preempted, so that its time is not
+        used to estimate service times. Unknown ids are ignored, so it is safe to finish twice.
         """
         with self._condition:
             running = self._running.pop(work_id, None)
@@ -133,16 +135,16 @@
             self._condition.notify()
 
     def cancel(self, work_id: str) -> bool:
-        """Forget work that still waits; return whether it did."""
+        """Remove work that still waits; return whether it did."""
         with self._condition:
             return self._waiting.remove(work_id)
 
     def find_preemptible(self, priority: int) -> str | None:
         """
-        Return running work to give up for work of a priority, if no slot is free.
+        Return the id of running work to preempt for work of this priority, if no slot is free.
 
-        Work that runs by its class's floor is left alone: were it given up whenever more urgent
-        work waits, the floor would never let anything end.
+        Work that was selected by the minimum share of its class is never preempted. Otherwise it
+        would be preempted whenever more urgent work waits, and none of it would ever complete.
         """
         with self._condition:
             if len(self._running) < self._slots:
@@ -159,7 +161,7 @@
             return victim.work_id if victim is not None else None
 
     def estimate_wait_ms(self, priority: int) -> int:
-        """Return how long new work would wait behind all of its own and of more urgent classes."""
+        """Return the expected waiting time of new work that is last in its class."""
         with self._condition:
             ahead_ms = self._waiting.estimate_class_ahead_ms(
                 priority_classes.find_priority_class(priority)
@@ -167,29 +169,30 @@
             return int(self._estimate_start_ms(ahead_ms, self._read_now()))
 
     def close(self) -> None:
-        """Refuse new work from now on; what waits and what runs goes on."""
+        """Refuse new work from now on; waiting and running work goes on."""
         with self._condition:
             self._is_leaving = True
 
     def drop_waiting(self) -> None:
-        """Drop all that waits as `LEAVING`; what runs goes on."""
+        """Drop all waiting work with the reason `LEAVING`; running work goes on."""
         with self._condition:
             now = self._read_now()
             for item in self._waiting.pop_all():
                 self._drop(item, work.LEAVING, now)
 
     def _measure_lateness_ms(self, item: work.Work, wait_ms: float, now: float) -> float:
-        """Return by how much work would end after its deadline; negative if it would not."""
+        """Return how long after its deadline work would end; negative if it ends in time."""
         budget_ms = (item.deadline.expires_at - now) * 1000
         return wait_ms + item.cost_ms * self._estimate_cost_ratio(now) - budget_ms
 
     def _estimate_cost_ratio(self, now: float) -> float:
         """
-        Return by how much to multiply a predicted service time, as seen by what runs now too.
+        Return the factor from predicted to expected service time, including running work.
 
-        A backend server that turns slow completes nothing for a while, and the estimate stays as
-        it was; meanwhile work was let in that could not end in time. Half of what runs being late
-        shows it sooner; a single straggler does not count, nor the only work that runs.
+        When a backend server becomes slow, nothing completes for a while and the factor from
+        completed work does not change; work was then admitted that could not end in time. The
+        median overrun of the running work shows the slowdown sooner. A single straggler does not
+        affect the median, and a work that runs alone is not counted.
         """
         ratio = self._estimator.compute_ratio(now)
         if len(self._running) < _MIN_RUNNING:
@@ -201,7 +204,7 @@
         return max(ratio, statistics.median_low(elapsed))
 
     def _estimate_start_ms(self, ahead_ms: float, now: float) -> float:
-        """Return when work gets a slot that has so much predicted service before it."""
+        """Return the time until work with `ahead_ms` of service before it gets a slot."""
         ratio = self._estimator.compute_ratio(now)
         remaining_ms = [
             estimator.estimate_remaining_ms(
@@ -212,7 +215,7 @@
         return estimator.estimate_start_ms(self._slots, remaining_ms, ahead_ms * ratio)
 
     def _make_room(self, newcomer: work.Work, now: float) -> bool:
-        """Displace work if the queue is full; return whether there is a place."""
+        """Evict work if the queue is full; return whether there is a place for the new work."""
         if len(self._dropped) >= self._max_waiting:
             return False
         if len(self._waiting) < self._max_waiting:
@@ -246,10 +249,11 @@
 
     def _would_be_late(self, item: work.Work, now: float) -> bool:
         """
-        Tell whether work would be late even if it ran at once, and something else could run.
+        Return whether work would miss its deadline even if it started now.
 
-        Under overload all that waits is near its deadline. Run in turn, much of it would end just
-        too late and waste the slot that the next one needs to end in time.
+        Always False for the only waiting work of its class, as no other work would gain from its
+        slot. Under overload all waiting work is near its deadline. If it ran in order, much of it
+        would end slightly too late, and use the slot that the next work needs to end in time.
         """
         if self._waiting.count_class(item.priority) < 2:
             return False
@@ -257,9 +261,9 @@
 
     def _refuse(self, reason: str, wait_ms: float) -> work.Refusal:
         """
-        Return a refusal with the time after which the same work may be let in.
+        Return a refusal that says when to try again.
 
-        The jitter spreads those that were refused together over as long again as they wait.
+        The jitter spreads callers that were refused together over one to two times the wait.
         """
         retry_after_ms = max(_MIN_RETRY_AFTER_MS, wait_ms) * (1.0 + self._jitter.random())
         return work.Refusal(reason, int(min(_MAX_RETRY_AFTER_MS, retry_after_ms)))
--- a/libs/admission/oleander_admission/estimator.py
+++ b/libs/admission/oleander_admission/estimator.py
@@ -1,17 +1,19 @@
-"""How long work will take, from how long work took, and when a slot will be free."""
+"""Estimates of service times and of when a slot becomes free."""
 
 _EWMA_WEIGHT = 0.1
+"""Weight of the newest service in the moving averages."""
 _MIN_RATIO = 0.05
 _MAX_RATIO = 20.0
 _HALF_LIFE_SECONDS = 5.0
+"""Time without a completed service after which the excess of the ratio over 1 has halved."""
 
 
 class ServiceEstimator:
     """
-    Measured against predicted service time; the ratio of two moving averages.
+    Tracks the ratio of measured to predicted service time.
 
-    The ratio of averages, and not the average of ratios, since one tiny prediction that was far
-    off would otherwise outweigh all others.
+    It is the ratio of two moving averages and not the average of ratios, in which a single tiny
+    prediction that was far off would outweigh all others.
     """
 
     def __init__(self) -> None:
@@ -20,7 +22,7 @@
         self._observed_at = 0.0
 
     def record_service(self, cost_ms: float, service_ms: float, now: float) -> None:
-        """Take in one completed service."""
+        """Update the averages with a completed service."""
         weight = _EWMA_WEIGHT if self._cost_ms > 0.0 else 1.0
         self._cost_ms += weight * (cost_ms - self._cost_ms)
         self._service_ms += weight * (service_ms - self._service_ms)
@@ -28,11 +30,12 @@
 
     def compute_ratio(self, now: float) -> float:
         """
-        Return by how much to multiply a predicted service time.
+        Return the factor from predicted to expected service time; 1 before any measurement.
 
-        A ratio above one fades while nothing completes. Without that, one slow spell could make
-        every estimate pass every deadline: all work would be refused, nothing would complete, and
-        the estimate would never be corrected. Fading lets work in again, which is then measured.
+        A ratio above 1 decays towards 1 while nothing completes. Without the decay, a slow period
+        could push all estimates past all deadlines: all work would be refused, nothing would
+        complete, and the ratio would never be corrected. With it, work is admitted and measured
+        again.
         """
         if self._cost_ms <= 0.0:
             return 1.0
@@ -45,21 +48,23 @@
 
 def estimate_remaining_ms(expected_ms: float, elapsed_ms: float) -> float:
     """
-    Return how much longer running work will take.
+    Return the estimated time until running work ends.
 
-    Work that is overdue is taken to need as long again as it is late. With nothing instead, a
-    backend server that hangs would look as if it were about to become free, and work would be
-    accepted for it until the queue was full.
+    Overdue work is assumed to need as much more time as it is late already. If it were assumed
+    to end at once, a hanging backend server would always seem about to become free, and work
+    would be accepted for it until the queue was full.
     """
     return abs(expected_ms - elapsed_ms)
 
 
 def estimate_start_ms(slots: int, remaining_ms: list[float], ahead_ms: float) -> float:
     """
-    Return when new work gets a slot, after running work and the waiting work that goes first.
+    Return the time until new work gets a slot.
 
-    The waiting work fills the slots as water would: each as soon as it is free, up to one level.
-    That is exact for work in small pieces, and wrong by no more than one piece otherwise.
+    `remaining_ms` holds the remaining time of each running work, and `ahead_ms` the total service
+    time of the waiting work that runs first. The waiting work is spread over the slots as they
+    become free so that all are busy until the same time. This is exact if the work can be divided
+    at will; otherwise the error is at most the length of one work.
     """
     free_at = sorted([0.0] * max(0, slots - len(remaining_ms)) + remaining_ms)
     free_sum = 0.0
--- a/libs/admission/oleander_admission/fairness.py
+++ b/libs/admission/oleander_admission/fairness.py
@@ -1,4 +1,4 @@
-"""Deficit round robin: customers of one priority class share the service time by weight."""
+"""Weighted deficit round robin over the customers of one priority class."""
 
 import collections
 import dataclasses
@@ -7,14 +7,15 @@
 from oleander_admission import work
 
 _QUANTUM_MS = 0.1
-"""Service time that one percent of share earns in a round; small, so that turns are short."""
+"""Service time credited per round and percent of share; small, so that customers alternate."""
 _MAX_FLOWS = 1000
+"""Bounds the memory for customers that have nothing waiting."""
 _MIN_WEIGHT = 1
 
 
 @dataclasses.dataclass(slots=True)
 class QueuedWork:
-    """Waiting work and the order in which it came."""
+    """Waiting work and its sequence number of arrival."""
 
     work: work.Work
     sequence: int
@@ -22,12 +23,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Flow:
-    """The waiting work of one customer, and the service time that it has earned."""
+    """The waiting work of one customer, and its credit of service time."""
 
     customer: str
     weight: int
     deficit_ms: float = 0.0
-    """Earned and not yet used; negative after work that took longer than predicted."""
+    """Unused credit; negative after work that took longer than predicted."""
     backlog_ms: float = 0.0
     entries: collections.OrderedDict[str, QueuedWork] = dataclasses.field(
         default_factory=collections.OrderedDict
@@ -35,26 +36,26 @@
 
     @property
     def oldest(self) -> QueuedWork:
-        """The oldest entry."""
+        """The entry that arrived first."""
         return next(iter(self.entries.values()))
 
     @property
     def newest(self) -> QueuedWork:
-        """The last entry."""
+        """The entry that arrived last."""
         return next(reversed(self.entries.values()))
 
     @property
     def rounds_until_eligible(self) -> int:
-        """How many more rounds until the oldest entry may go."""
+        """Rounds until the credit covers the predicted cost of the oldest entry."""
         missing_ms = self.oldest.work.cost_ms - self.deficit_ms
         return max(0, math.ceil(missing_ms / (_QUANTUM_MS * self.weight)))
 
     def add_credit(self, rounds: int) -> None:
-        """Add the service time of some rounds."""
+        """Add the credit of a number of rounds."""
         self.deficit_ms += _QUANTUM_MS * self.weight * rounds
 
     def remove(self, work_id: str) -> QueuedWork:
-        """Take an entry out."""
+        """Remove and return an entry, which must be waiting."""
         entry = self.entries.pop(work_id)
         self.backlog_ms -= entry.work.cost_ms
         if not self.entries:
@@ -64,17 +65,17 @@
 
 class FairQueue:
     """
-    The waiting work of one priority class; not thread-safe by itself.
+    The waiting work of one priority class; not thread-safe.
 
-    The number of entries is the caller's to bound. A customer with nothing waiting is remembered
-    only while it owes service time and while at most 1000 customers are known; past that its debt
-    is forgiven. All debts are forgiven once nobody waits, since then nobody is kept from a turn.
+    The caller bounds the number of entries. A customer with nothing waiting is kept only while its
+    credit is negative and at most 1000 customers are kept; beyond that its debt is dropped. All
+    debts are dropped once no customer has work waiting, as then none is disadvantaged by it.
     """
 
     def __init__(self) -> None:
         self._flows: collections.OrderedDict[str, _Flow] = collections.OrderedDict()
         self._customers: dict[str, str] = {}
-        """The customer of each waiting work id."""
+        """Customer by the id of its waiting work."""
 
     def __len__(self) -> int:
         return len(self._customers)
@@ -84,16 +85,16 @@
 
     @property
     def backlog_ms(self) -> float:
-        """The predicted service time of all that waits."""
+        """The predicted service time of all waiting work."""
         return sum(flow.backlog_ms for flow in self._flows.values())
 
     @property
     def entries(self) -> list[QueuedWork]:
-        """All that waits, in no promised order."""
+        """All waiting work, in no particular order."""
         return [entry for flow in self._flows.values() for entry in flow.entries.values()]
 
     def add(self, entry: QueuedWork) -> None:
-        """Put work at the end of its customer's line."""
+        """Append work to its customer's queue."""
         item = entry.work
         weight = max(_MIN_WEIGHT, item.share_percent)
         flow = self._flows.get(item.customer)
@@ -105,17 +106,17 @@
         self._customers[item.work_id] = item.customer
 
     def peek(self) -> QueuedWork:
-        """Return the entry whose turn it is; there must be one."""
+        """Return the entry to run next; the queue must not be empty."""
         return self._select_flow().oldest
 
     def pop(self) -> QueuedWork:
-        """Take out the entry whose turn it is, at its customer's cost; there must be one."""
+        """Remove the entry to run next and charge its customer; the queue must not be empty."""
         flow = self._select_flow()
         flow.deficit_ms -= flow.oldest.work.cost_ms
         return self.remove(flow.oldest.work.work_id)
 
     def remove(self, work_id: str) -> QueuedWork:
-        """Take out an entry that must be waiting."""
+        """Remove and return an entry, which must be waiting."""
         flow = self._flows[self._customers.pop(work_id)]
         entry = flow.remove(work_id)
         if not self._customers:
@@ -125,12 +126,17 @@
         return entry
 
     def find_newest(self) -> QueuedWork:
-        """Return the entry that came last; there must be one."""
+        """Return the entry that arrived last; the queue must not be empty."""
         flows = (flow for flow in self._flows.values() if flow.entries)
         return max((flow.newest for flow in flows), key=lambda entry: entry.sequence)
 
     def find_evictable(self, newcomer: work.Work) -> QueuedWork | None:
-        """Return the newest entry of a customer whose line is longer by weight, if any."""
+        """
+        Return the entry to evict for new work of this class, if any.
+
+        It is the newest entry of the customer with the longest backlog relative to its weight,
+        provided that this backlog without the entry is not below that of the new work's customer.
+        """
         own = self._flows.get(newcomer.customer)
         weight = max(_MIN_WEIGHT, newcomer.share_percent)
         backlog_ms = newcomer.cost_ms + (own.backlog_ms if own is not None else 0.0)
@@ -142,7 +148,7 @@
         return longest.newest if rest_ms / longest.weight >= backlog_ms / weight else None
 
     def adjust_charge(self, customer: str, weight: int, extra_ms: float) -> None:
-        """Charge what work took beyond its predicted cost, or give back what it did not take."""
+        """Charge a customer the service time beyond the predicted cost; refund it if negative."""
         if not self._customers:
             return
         flow = self._flows.get(customer)
@@ -152,7 +158,7 @@
         self._remove_idle(flow)
 
     def estimate_ahead_ms(self, newcomer: work.Work) -> float:
-        """Return the predicted service time that goes before new work of a customer."""
+        """Return the predicted service time of the work that runs before this new work."""
         weight = max(_MIN_WEIGHT, newcomer.share_percent)
         own = self._flows.get(newcomer.customer) or _Flow(newcomer.customer, weight)
         rounds = (own.backlog_ms + newcomer.cost_ms - own.deficit_ms) / weight
@@ -174,7 +180,7 @@
             self._remove_idle(following)
 
     def _skip_rounds(self) -> None:
-        """Let all earn at once what they would in rounds that bring nobody a turn."""
+        """Add the credit of all rounds in which no customer could run anything."""
         flows = [flow for flow in self._flows.values() if flow.entries]
         rounds = min(flow.rounds_until_eligible for flow in flows) - 1
         if rounds <= 0:
@@ -184,7 +190,7 @@
             self._remove_idle(flow)
 
     def _remove_idle(self, flow: _Flow) -> None:
-        """Forget a customer with nothing waiting, and so what it earned, unless it owes."""
+        """Remove a customer with nothing waiting and its credit, unless the credit is negative."""
         if flow.entries:
             return
         if flow.deficit_ms >= 0.0 or len(self._flows) > _MAX_FLOWS:
--- a/libs/admission/oleander_admission/priority_classes.py
+++ b/libs/admission/oleander_admission/priority_classes.py
@@ -1,4 +1,4 @@
-"""Waiting work by priority class: the most urgent goes first, and none is starved."""
+"""Waiting work by priority class: strict priority with a minimum share for each class."""
 
 import dataclasses
 
@@ -8,34 +8,34 @@
 PRIORITIES = tuple(sorted(contract.Priority))
 
 _MIN_SHARE = 0.03
-"""The part of the service time that each class is sure of while more urgent work waits."""
+"""Fraction of the service time that each class gets even while more urgent work waits."""
 _RESERVED_FRACTION = 0.05
-"""The part of the places that more urgent work can't take from a class."""
+"""Fraction of the queue's places reserved for each class, safe from other classes' work."""
 
 
 def find_priority_class(priority: int) -> contract.Priority:
-    """Return the nearest priority class; a peer may send any number."""
+    """Return the nearest priority class, as peers may send any number."""
     return contract.Priority(min(PRIORITIES[-1], max(PRIORITIES[0], priority)))
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Selection:
-    """The work that goes next."""
+    """The work to run next, and why it was selected."""
 
     work: work.Work
     by_min_share: bool
-    """Whether its class's floor put it ahead of more urgent work."""
+    """Whether the minimum share of its class put it ahead of more urgent work."""
 
 
 class WaitingWork:
     """
-    The waiting work of all classes; not thread-safe by itself, bounded by its user.
+    The waiting work of all classes; not thread-safe, and bounded by its caller.
 
-    Strict priority would starve: a depot's background sync that never gets a slot under a steady
-    load of bookings times out each night. So whenever more urgent work goes first, each class that
-    waits earns a few percent of its service time, and once that covers the next work of the class
-    that work goes first. The floor is in service time and not in turns, so that long work can't
-    take more of the slots than the floor says.
+    Strict priority would starve the less urgent classes: a background sync that never got a slot
+    under a steady load of bookings timed out each night. Whenever more urgent work runs, each
+    waiting class is therefore credited with a few percent of its service time. Once the credit
+    covers the next work of the class, that work runs first. The minimum share is counted in
+    service time and not in works, so that long work can't get more than this share of the slots.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self._credit_ms = dict.fromkeys(PRIORITIES, 0.0)
         self._sequence = 0
         self._next_expiry = float("inf")
-        """Nothing that waits expires before this."""
+        """Lower bound of the deadlines of all waiting work."""
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
@@ -52,7 +52,7 @@
         return any(work_id in queue for queue in self._queues.values())
 
     def add(self, item: work.Work) -> None:
-        """Put work at the end of its customer's line in its class."""
+        """Append work to its customer's queue in its class."""
         self._sequence += 1
         self._queues[find_priority_class(item.priority)].add(
             fairness.QueuedWork(item, self._sequence)
@@ -60,7 +60,7 @@
         self._next_expiry = min(self._next_expiry, item.deadline.expires_at)
 
     def remove(self, work_id: str) -> bool:
-        """Take out work; return whether it waited."""
+        """Remove work; return whether it waited."""
         for queue in self._queues.values():
             if work_id in queue:
                 queue.remove(work_id)
@@ -68,7 +68,7 @@
         return False
 
     def peek_next(self) -> Selection | None:
-        """Return the work that goes next, if any waits."""
+        """Return the work to run next, or None if none waits."""
         waiting = [priority for priority in PRIORITIES if self._queues[priority]]
         if not waiting:
             return None
@@ -76,17 +76,17 @@
         return Selection(self._queues[priority].peek().work, priority != waiting[0])
 
     def pop(self, selected: Selection) -> None:
-        """Take out the work that `peek_next` returned, at its customer's cost."""
+        """Remove the work that `peek_next` returned, charging its customer the predicted cost."""
         priority = find_priority_class(selected.work.priority)
         self._queues[priority].pop()
         self._update_credits(priority, selected.work.cost_ms, selected.by_min_share)
 
     def count_class(self, priority: int) -> int:
-        """Return how much work of a class waits."""
+        """Return the number of works of a class that wait."""
         return len(self._queues[find_priority_class(priority)])
 
     def pop_expired(self, now: float) -> list[work.Work]:
-        """Take out all work whose deadline has passed."""
+        """Remove and return all work whose deadline has passed."""
         if now < self._next_expiry:
             return []
         entries = [entry for queue in self._queues.values() for entry in queue.entries]
@@ -98,14 +98,14 @@
         return expired
 
     def pop_all(self) -> list[work.Work]:
-        """Take out all work."""
+        """Remove and return all work."""
         waiting = [entry.work for queue in self._queues.values() for entry in queue.entries]
         for item in waiting:
             self.remove(item.work_id)
         return waiting
 
     def pop_evicted(self, newcomer: work.Work, max_waiting: int) -> work.Work | None:
-        """Take out the work that has to make room for a newcomer, if any has to."""
+        """Remove and return the work to evict for new work, or None if there is none to evict."""
         victim = self._find_evictable(newcomer, int(max_waiting * _RESERVED_FRACTION))
         if victim is None:
             return None
@@ -113,18 +113,18 @@
         return victim.work
 
     def adjust_charge(self, item: work.Work, extra_ms: float) -> None:
-        """Charge a customer what its work took beyond the predicted cost, or give it back."""
+        """Charge a customer the service time beyond the predicted cost; refund it if negative."""
         queue = self._queues[find_priority_class(item.priority)]
         queue.adjust_charge(item.customer, item.share_percent, extra_ms)
 
     def estimate_ahead_ms(self, item: work.Work) -> float:
-        """Return the service time of all that goes before new work."""
+        """Return the predicted service time of all work that runs before this new work."""
         priority = find_priority_class(item.priority)
         own_ms = self._queues[priority].estimate_ahead_ms(item)
         return self._estimate_ahead_ms(priority, own_ms, item.cost_ms)
 
     def estimate_class_ahead_ms(self, priority: contract.Priority) -> float:
-        """Return the service time of all that goes before new work that is last in its class."""
+        """Return the predicted service time before new work that is last in its class."""
         all_ms = sum(queue.backlog_ms for queue in self._queues.values())
         mean_ms = all_ms / max(1, len(self))
         return self._estimate_ahead_ms(priority, self._queues[priority].backlog_ms, mean_ms)
@@ -149,7 +149,11 @@
     def _update_credits(
         self, served: contract.Priority, cost_ms: float, by_min_share: bool
     ) -> None:
-        """Let waiting classes earn their part of what went before them; nobody saves."""
+        """
+        Credit waiting classes for the service time of more urgent work.
+
+        A class without waiting work loses its credit, so that no class can save up.
+        """
         if by_min_share:
             self._credit_ms[served] -= cost_ms
         for priority in PRIORITIES:
--- a/libs/admission/oleander_admission/work.py
+++ b/libs/admission/oleander_admission/work.py
@@ -1,27 +1,27 @@
-"""What is asked of a backend server, and what it is told when it can't be run."""
+"""Requests to a backend server, and the reasons for which they are refused."""
 
 import dataclasses
 
 from oleander_base import clock
 
 QUEUE_FULL = "queue-full"
-"""As much work waits as may wait, and none of it has to make room for this one."""
+"""The queue is full, and no waiting work can be evicted for this one."""
 TOO_LATE = "too-late"
-"""The answer would come, or already came to be, after the deadline."""
+"""The work would end after its deadline, or the deadline has passed already."""
 LEAVING = "leaving"
-"""The backend server takes no new work any more."""
+"""The backend server is leaving and accepts no new work."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Work:
-    """One request that wants a slot of the backend server."""
+    """A request that needs a slot of the backend server."""
 
     work_id: str
     customer: str
     priority: int
-    """A value of `contract.Priority`; lower goes first, and others count as the nearest one."""
+    """A value of `contract.Priority`, lower first; other numbers count as the nearest value."""
     share_percent: int
-    """The customer's weight against others of the same priority; below one counts as one."""
+    """The customer's weight among those of the same priority; values below 1 count as 1."""
     cost_ms: float
     """The predicted service time."""
     deadline: clock.Deadline
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Refusal:
-    """Why work will not be run here, and when to ask again."""
+    """Why work is not run here, and when to try again."""
 
     reason: str
     retry_after_ms: int
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DroppedWork:
-    """Work that was accepted, did not run, and never will."""
+    """Work that was accepted and then dropped without being run."""
 
     work: Work
     refusal: Refusal
