--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -32,7 +32,7 @@
     ),
     "quarantine": (
         "libs/quarantine/oleander_quarantine/ledger.py",
-        "if suspect is None or suspect.excess < 0:",
+        "if suspect is None or suspect.crashes_over_threshold < 0:",
         "if suspect is None or suspect:",
     ),
     "suspects-apart": (
--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -26,7 +26,7 @@
     def withdraw(self, keys):
         for item in self.ledgers:
             for key in keys:
-                item.remove(key)
+                item.remove_crash(key)
 
 
 def create_keeper(known, owned_ids, caller, shared):
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -124,7 +124,7 @@
     known = directory.Directory(router.Router(7), server_fakes.UnusedCaller())
     crashes = ledger.CrashLedger(7, read_now)
     guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedCrashes(), read_now)
-    for number in range(ledger.MOST_CRASHES):
+    for number in range(ledger.CRASH_THRESHOLD):
         lost = dataclasses.replace(_list_engines(context)[0], server_id=f"lost-{number}")
         guard.register_load(lost, "a", version)
         guard.record_loss(lost)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -54,7 +54,7 @@
         crashes.record_answer(crash_fakes.FINGERPRINT)
     elif what == "dropped":
         crashes.record_crash(key, True)
-        crashes.remove(key)
+        crashes.remove_crash(key)
     elif server != "none":
         crashes.record_crash(key, what != "shared")
 
@@ -62,14 +62,14 @@
 @behave.when("{seconds:d} s pass, then server {server} ends under it")
 def end_later(context, seconds, server):
     context.now += seconds
-    context.ledger.take_forgotten()
+    context.ledger.pop_expired()
     _apply(context.ledger, server)
 
 
 @behave.when("{seconds:d} s pass")
 def pass_time(context, seconds):
     context.now += seconds
-    context.was_forgotten = bool(context.ledger.take_forgotten())
+    context.was_forgotten = bool(context.ledger.pop_expired())
 
 
 @behave.then("the ledger calls it {state}")
--- a/libs/orders/oleander_orders/load_guard.py
+++ b/libs/orders/oleander_orders/load_guard.py
@@ -57,8 +57,8 @@
             return None
         if any((item.find_version(model) or 0) >= version for item in listed):
             return None
-        first_seconds = ledger.BATCH_QUARANTINE_SECONDS
-        quarantine = self._ledger.find_quarantine(fingerprint, first_seconds)
+        initial_seconds = ledger.BATCH_QUARANTINE_SECONDS
+        quarantine = self._ledger.find_quarantine(fingerprint, initial_seconds)
         if quarantine is None:
             return 1
         log.warn_bounded(
--- a/libs/quarantine/oleander_quarantine/ledger.py
+++ b/libs/quarantine/oleander_quarantine/ledger.py
@@ -9,9 +9,9 @@
 from oleander_base import clock
 from oleander_quarantine import records
 
-MOST_CRASHES = 3
+CRASH_THRESHOLD = 3
 """Crashes that lead to a quarantine, whatever else the servers ran."""
-MOST_CRASHES_ALONE = 2
+CRASH_ALONE_THRESHOLD = 2
 """Crashes that lead to a quarantine where the request ran alone, so nothing else is the cause."""
 CALL_QUARANTINE_SECONDS = 60.0
 """Of a caller's request, at first. Each further crash doubles it, so that a request which never
@@ -19,15 +19,15 @@
 BATCH_QUARANTINE_SECONDS = 4.0
 """Of an item or a scoring, at first. Many run at one server, so most that recur in crashes are
 neighbours of the cause, and their batch waits for them."""
-MOST_QUARANTINE_SECONDS = 6 * 3600.0
-_FORGET_FACTOR = 2.0
+MAX_QUARANTINE_SECONDS = 6 * 3600.0
+_EXPIRY_FACTOR = 2.0
 """Crashes are forgotten after this many times the quarantine that they led to."""
-_SPREAD = 0.5
+_EXPIRY_JITTER = 0.5
 """Forgotten up to so much later, so that one process removes the records and not all at once."""
-_MOST_REQUESTS = 4096
+_MAX_SUSPECTS = 4096
 """Past this the request whose crashes were first recorded is forgotten."""
-_MOST_PROVEN = 1024
-_PROOF_SECONDS = 60.0
+_MAX_CLEARED = 1024
+_CLEARED_SECONDS = 60.0
 """A request that a server answered is not the cause of crashes for so long."""
 
 
@@ -38,18 +38,18 @@
     crashes: dict[str, bool] = dataclasses.field(default_factory=dict)
     """By run of a server; whether the request was alone there."""
     crashed_at: float = 0.0
-    forgotten_at: float = 0.0
+    expires_at: float = 0.0
 
     @property
-    def excess(self) -> int:
+    def crashes_over_threshold(self) -> int:
         """Crashes beyond those that lead to a quarantine; below zero where they don't."""
         alone = sum(self.crashes.values())
-        return max(len(self.crashes) - MOST_CRASHES, alone - MOST_CRASHES_ALONE)
+        return max(len(self.crashes) - CRASH_THRESHOLD, alone - CRASH_ALONE_THRESHOLD)
 
-    def find_release(self, first_seconds: float) -> float:
+    def compute_release_time(self, initial_seconds: float) -> float:
         """Return when a quarantine ends that at first lasts so long."""
-        seconds = first_seconds * 2.0 ** max(0, self.excess)
-        return self.crashed_at + min(MOST_QUARANTINE_SECONDS, seconds)
+        seconds = initial_seconds * 2.0 ** max(0, self.crashes_over_threshold)
+        return self.crashed_at + min(MAX_QUARANTINE_SECONDS, seconds)
 
 
 class CrashLedger:
@@ -72,7 +72,7 @@
         self._read_now = read_now
         self._lock = threading.Lock()
         self._suspects: dict[str, _Suspect] = {}
-        self._proven: collections.OrderedDict[str, float] = collections.OrderedDict()
+        self._cleared_until: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     @property
     def is_empty(self) -> bool:
@@ -82,42 +82,42 @@
     def record_crash(self, key: records.CrashKey, was_alone: bool) -> bool:
         """Record a crash; return whether it is new."""
         with self._lock:
-            if self._is_proven(key.fingerprint):
+            if self._is_cleared(key.fingerprint):
                 return False
             suspect = self._suspects.setdefault(key.fingerprint, _Suspect())
-            if key.run in suspect.crashes:
+            if key.incarnation_hash in suspect.crashes:
                 return False
-            suspect.crashes[key.run] = was_alone
-            self._extend(suspect)
-            while len(self._suspects) > _MOST_REQUESTS:
+            suspect.crashes[key.incarnation_hash] = was_alone
+            self._update_expiry(suspect)
+            while len(self._suspects) > _MAX_SUSPECTS:
                 del self._suspects[next(iter(self._suspects))]
             return True
 
     def record_answer(self, fingerprint: str) -> list[records.CrashKey]:
         """Record that a server answered a request; return the crashes that no longer count."""
         with self._lock:
-            self._proven[fingerprint] = self._read_now() + _PROOF_SECONDS
-            self._proven.move_to_end(fingerprint)
-            if len(self._proven) > _MOST_PROVEN:
-                self._proven.popitem(last=False)
-            return self._take(fingerprint)
+            self._cleared_until[fingerprint] = self._read_now() + _CLEARED_SECONDS
+            self._cleared_until.move_to_end(fingerprint)
+            if len(self._cleared_until) > _MAX_CLEARED:
+                self._cleared_until.popitem(last=False)
+            return self._pop_crashes(fingerprint)
 
-    def remove(self, key: records.CrashKey) -> None:
+    def remove_crash(self, key: records.CrashKey) -> None:
         """Remove a crash that no longer counts."""
         with self._lock:
             suspect = self._suspects.get(key.fingerprint)
             if suspect is None:
                 return
-            suspect.crashes.pop(key.run, None)
+            suspect.crashes.pop(key.incarnation_hash, None)
             if not suspect.crashes:
                 del self._suspects[key.fingerprint]
 
-    def take_forgotten(self) -> list[records.CrashKey]:
+    def pop_expired(self) -> list[records.CrashKey]:
         """Evict requests whose crashes are long past; return the crashes that were removed."""
         with self._lock:
             now = self._read_now()
-            past = [name for name, item in self._suspects.items() if item.forgotten_at <= now]
-            return [key for name in past for key in self._take(name)]
+            expired = [name for name, item in self._suspects.items() if item.expires_at <= now]
+            return [key for name in expired for key in self._pop_crashes(name)]
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a server ended under a request."""
@@ -127,29 +127,29 @@
         """Return whether a request recurs in crashes, in quarantine or after it."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
-            return suspect is not None and suspect.excess >= 0
+            return suspect is not None and suspect.crashes_over_threshold >= 0
 
     def find_quarantine(
-        self, fingerprint: str, first_seconds: float = CALL_QUARANTINE_SECONDS
+        self, fingerprint: str, initial_seconds: float = CALL_QUARANTINE_SECONDS
     ) -> clock.Deadline | None:
         """Return the end of a request's quarantine, or nothing where there is none."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
-            if suspect is None or suspect.excess < 0:
+            if suspect is None or suspect.crashes_over_threshold < 0:
                 return None
-            released_at = suspect.find_release(first_seconds)
+            released_at = suspect.compute_release_time(initial_seconds)
             return clock.Deadline(released_at) if released_at > self._read_now() else None
 
-    def _is_proven(self, fingerprint: str) -> bool:
-        return self._proven.get(fingerprint, 0.0) > self._read_now()
+    def _is_cleared(self, fingerprint: str) -> bool:
+        return self._cleared_until.get(fingerprint, 0.0) > self._read_now()
 
-    def _extend(self, suspect: _Suspect) -> None:
+    def _update_expiry(self, suspect: _Suspect) -> None:
         suspect.crashed_at = self._read_now()
-        seconds = suspect.find_release(CALL_QUARANTINE_SECONDS) - suspect.crashed_at
-        spread = 1.0 + self._random.uniform(0.0, _SPREAD)
-        suspect.forgotten_at = suspect.crashed_at + seconds * _FORGET_FACTOR * spread
+        seconds = suspect.compute_release_time(CALL_QUARANTINE_SECONDS) - suspect.crashed_at
+        jitter = 1.0 + self._random.uniform(0.0, _EXPIRY_JITTER)
+        suspect.expires_at = suspect.crashed_at + seconds * _EXPIRY_FACTOR * jitter
 
-    def _take(self, fingerprint: str) -> list[records.CrashKey]:
+    def _pop_crashes(self, fingerprint: str) -> list[records.CrashKey]:
         suspect = self._suspects.pop(fingerprint, None)
         if suspect is None:
             return []
--- a/libs/quarantine/oleander_quarantine/records.py
+++ b/libs/quarantine/oleander_quarantine/records.py
@@ -16,13 +16,13 @@
 
     fingerprint: str
     """Of the request, whatever ids its attempts have."""
-    run: str
+    incarnation_hash: str
     """A short name for the incarnation of the server."""
 
     @property
     def text(self) -> str:
         """The key of its record."""
-        return f"{self.fingerprint}{_SEPARATOR}{self.run}"
+        return f"{self.fingerprint}{_SEPARATOR}{self.incarnation_hash}"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/programs/oleanderdeal/oleanderdeal/crash_records.py
+++ b/programs/oleanderdeal/oleanderdeal/crash_records.py
@@ -51,7 +51,7 @@
         """Remove a crash that no longer counts."""
         decoded = records.decode_key(key)
         if decoded.is_ok():
-            self._ledger.remove(decoded.ok)
+            self._ledger.remove_crash(decoded.ok)
 
     def keep_only(self, keys: set[str]) -> None:
         """Keep what is known: crashes of this process may not stand in the log yet."""
@@ -88,7 +88,7 @@
     def write(self) -> None:
         """Append queued records until the group stops."""
         while not self._group.is_stopping:
-            self.withdraw(self._ledger.take_forgotten())
+            self.withdraw(self._ledger.pop_expired())
             if not self.write_waiting():
                 self._group.pause(_AGAIN_SECONDS)
 
