--- a/programs/oleanderdeal/oleanderdeal/crash_records.py
+++ b/programs/oleanderdeal/oleanderdeal/crash_records.py
@@ -1,4 +1,4 @@
-"""Crashes of backend servers under requests, in the platform's log."""
+"""Shares records of backend server crashes, and the requests that caused them, via the log."""
 
 import collections
 import threading
@@ -13,25 +13,24 @@
 _APPEND_SECONDS = 1.0
 _RETRY_SECONDS = 0.2
 _EVICTION_SCAN_SECONDS = 1.0
-"""How often the ledger is scanned for crashes to evict."""
+"""Interval at which the ledger is scanned for evicted crashes."""
 _MAX_PENDING = 4096
-"""Queued records; past this the oldest are dropped."""
+"""Bound of the queue; if it is full, the oldest records are dropped."""
 _MAX_RECORDS_PER_APPEND = 256
-"""In one append."""
 
 
 class CrashSink(keyed_follower.KeyedSink):
     """
-    Records the crashes that any process saw.
+    Adds the crashes that any process recorded to the local ledger.
 
-    A withdrawal that this process missed is made up for by the ledger's eviction.
+    If this process misses the removal of a crash, the ledger evicts it later by itself.
     """
 
     def __init__(self, crash_ledger: ledger.CrashLedger) -> None:
         self._ledger = crash_ledger
 
     def put(self, key: str, value: bytes) -> None:
-        """Record a crash; a malformed record changes nothing."""
+        """Add a crash to the ledger; a malformed record is logged and ignored."""
         decoded = records.decode_key(key).bind(lambda name: records.decode_crash(name, value))
         if decoded.is_error():
             log.warn_bounded("crash-record", str(decoded.error))
@@ -45,19 +44,19 @@
             request=crash.key.fingerprint,
             server=crash.incarnation,
             quarantine_s=int(quarantine.remaining) if quarantine else 0,
-        ).info("another process saw a server end under a request")
+        ).info("another process recorded a server crash during a request")
 
     def drop(self, key: str) -> None:
-        """Remove a crash that no longer counts."""
+        """Remove a crash that was withdrawn."""
         decoded = records.decode_key(key)
         if decoded.is_ok():
             self._ledger.remove(decoded.ok)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Keep what is known: crashes of this process may not stand in the log yet."""
+        """Remove nothing, since crashes of this process may not be in the log yet."""
 
     def note_current(self) -> None:
-        """Do nothing: crashes count whether or not the topic was read to its end."""
+        """Do nothing: crashes count even before the topic was read to its end."""
 
 
 class CrashWriter(crash_guard.CrashPublisher):
@@ -82,7 +81,7 @@
         self._enqueue([recordlog.write_keyed(crash.key.text, records.encode_crash(crash))])
 
     def withdraw(self, keys: list[records.CrashKey]) -> None:
-        """Queue the removal of crashes."""
+        """Queue the removal of crashes from the log."""
         self._enqueue([recordlog.write_keyed(key.text, b"") for key in keys])
 
     def write(self) -> None:
@@ -93,7 +92,7 @@
                 self._group.pause(_RETRY_SECONDS)
 
     def append_pending(self) -> bool:
-        """Append queued records, waiting a while for the first; return whether it succeeded."""
+        """Append queued records, waiting briefly for the first; return False if that failed."""
         with self._changed:
             if not self._pending:
                 self._changed.wait(_EVICTION_SCAN_SECONDS)
@@ -118,6 +117,6 @@
             return
         with self._changed:
             if len(self._pending) + len(added) > _MAX_PENDING:
-                log.warn_bounded("crashes-dropped", "too many wait for the log")
+                log.warn_bounded("crashes-dropped", "the queue of crash records is full")
             self._pending.extend(added)
             self._changed.notify()
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -1,4 +1,4 @@
-"""An entry that calls backend servers itself and keeps batches in the platform's log."""
+"""The entry process that calls backend servers directly and stores batches in the log."""
 
 import abc
 import collections.abc
@@ -31,60 +31,60 @@
 )
 
 HTTP_THREADS = 24
-"""Requests that one entry answers at once; the reads of trainers hold one while they wait."""
+"""Worker threads for API requests. A trainer's long-polling read occupies one while it waits."""
 READY_THREADS = 2
-"""The platform asks once a second; the second thread is for a check that hangs."""
+"""The platform polls readiness once a second; a second thread covers a check that hangs."""
 MAX_CONCURRENT_ITEMS = 96
-"""Items that one entry generates at once: all that a few dozen engines can run, should the
-entry be the only one left."""
+"""Batch items that one entry runs concurrently: enough to keep a few dozen engines busy if it is
+the only entry left."""
 MAX_PREFERRED_SERVERS = 6
-"""Servers of a backend that an entry keeps to with calls: more than one call may try, and enough
-that the choices of many entries even out."""
+"""Servers per backend to which an entry prefers to send calls: more than the attempts of one
+call, and enough that the subsets chosen by many entries balance the load."""
 _OTHER_TASKS = 20
-"""Followers, servers, writer, runner, keeper and room for a few more."""
+"""Tasks besides items and partitions: followers, HTTP servers, writers, runner and spares."""
 _MAX_SILENCE_SECONDS = 2.5
-"""After such a silence of the platform an entry is not ready: others may hear it."""
+"""An entry that received no server records for longer is not ready; other entries may be."""
 _CONFIGURATION_PAUSE_SECONDS = 0.05
-"""Configurations are rare and must be in force soon."""
+"""Poll interval of the operator's topic: records are rare and must take effect quickly."""
 _SERVERS_PAUSE_SECONDS = 0.25
-"""Servers report all the time, so several reports are read together."""
+"""Poll interval of the servers' topic: reports are frequent, so each read fetches several."""
 _CRASHES_PAUSE_SECONDS = 0.05
-"""Crashes are rare, and a request may come again at once."""
+"""Poll interval of the crash topic: crashes are rare, but a client may retry immediately."""
 _DEREGISTRATION_SECONDS = 2.5
-"""How long after the readiness check fails clients may still come: two checks and a margin."""
+"""Clients may connect for this long after readiness fails: two checks and a margin."""
 _STOP_MARGIN_SECONDS = 1.5
-"""A stop ends so long before the platform's limit."""
+"""Time by which a stop finishes ahead of the platform's grace period."""
 _JOIN_SECONDS = 0.5
-"""For tasks that wait in a call; the process ends without them after it."""
+"""Wait at exit for tasks that are blocked in a call; then the process exits without them."""
 _RELOAD_INTERVAL_SECONDS = 1.0
-"""Settings change rarely; the store's new address must be used within a few seconds."""
+"""Interval of settings reloads: a new address of the store must be used within seconds."""
 _DRAIN_POLL_SECONDS = 0.05
-"""How soon the end of the last request is seen."""
+"""Interval at which a draining entry checks whether the last request has finished."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntrySettings:
-    """What the entry was told by whoever starts it."""
+    """The settings of one entry process."""
 
     name: str
     host: str
-    """Names this host alone, also among those that were replaced."""
+    """Unique identifier of this host; a replacement with the same name has another one."""
     api_address: str
     ready_address: str
     metrics_address: str
-    """Where metrics are served as text; empty where they are not."""
+    """Address of the metrics page, or empty to serve none."""
     partitions: int
     order_gap_seconds: float
     batch_keep_seconds: float
     grace_seconds: float
-    """How long a stop may take at most."""
+    """Maximum duration of a graceful stop."""
     usage: usage_reporter.UsageSettings | None = None
-    """Nothing where use is not to be reported."""
+    """None if usage is not reported."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ApiComponents:
-    """What a surface for callers may use."""
+    """The components that the HTTP API handler calls."""
 
     lookup: route_lookup.RouteLookup
     dispatcher: calls.CallDispatcher
@@ -93,41 +93,41 @@
 
 
 class PlatformAdapter(abc.ABC):
-    """Joins the entry to one platform."""
+    """Connects an entry to one platform: its log, backend servers, topics and HTTP API."""
 
     @abc.abstractmethod
     def create_log(self) -> recordlog.RecordLog:
-        """Return the platform's log."""
+        """Create the client of the platform's log."""
 
     @abc.abstractmethod
     def create_server_caller(self) -> servers.ServerCaller:
-        """Return what reaches backend servers."""
+        """Create the client that calls backend servers."""
 
     @abc.abstractmethod
     def create_duty_platform(self) -> platform.DutyPlatform | None:
-        """Return what takes reports of use, if anything does."""
+        """Create the client for usage reports, or return None if the platform takes none."""
 
     @abc.abstractmethod
     def create_sinks(
         self, known_servers: directory.Directory
     ) -> tuple[tuple[str, keyed_follower.KeyedSink], tuple[str, keyed_follower.KeyedSink]]:
-        """Return topic and sink of the operator's records, then of the servers' records."""
+        """Return (topic, sink) of the operator's records and (topic, sink) of the servers'."""
 
     @abc.abstractmethod
     def qualify_topic(self, name: str) -> str:
-        """Return what a keyed topic of our own is called on the platform."""
+        """Return the platform's full name of a keyed topic of this program."""
 
     @abc.abstractmethod
     def reload(self, is_requested: bool) -> None:
-        """Take in settings that changed; called each second, and told of a request to."""
+        """Apply changed settings; called every second. `is_requested` is true after a SIGHUP."""
 
     @abc.abstractmethod
     def create_handler(self, operations: ApiComponents) -> http_server.Handler:
-        """Return what answers callers and the readiness check."""
+        """Create the handler of API requests and readiness checks."""
 
 
 class DirectEntry:
-    """Everything that one such process consists of."""
+    """Wires up and runs the components of one entry process."""
 
     def __init__(self, settings: EntrySettings, adapter: PlatformAdapter) -> None:
         self._settings = settings
@@ -203,7 +203,7 @@
         )
 
     def run(self, stop: lifecycle.StopSignal) -> None:
-        """Serve until told to stop, then finish what is in progress."""
+        """Serve until stopped, then drain requests in progress."""
         for follower in self._followers:
             self._group.keep(follower.follow)
         self._group.keep(self._crash_writer.write)
@@ -226,12 +226,12 @@
         while not stop.wait(_RELOAD_INTERVAL_SECONDS):
             self._adapter.reload(reload.consume())
         self._drain()
-        log.logger.bind(event="stopped").info("nothing is in progress")
+        log.logger.bind(event="stopped").info("stopped, no request is in progress")
 
     def _create_crash_writer(
         self, crashes: ledger.CrashLedger, log_service: recordlog.RecordLog
     ) -> crash_records.CrashWriter:
-        """Follow the crashes that others record; return what records those seen here."""
+        """Subscribe to crashes recorded by other processes; return the writer of local ones."""
         topic = self._adapter.qualify_topic(crash_records.TOPIC)
         sink = crash_records.CrashSink(crashes)
         self._followers.append(
@@ -244,7 +244,7 @@
     def _create_reporter(
         self, log_service: recordlog.RecordLog
     ) -> tuple[usage_reporter.UsageReporter | None, usage.UsageCounter | None]:
-        """Return what reports use and what counts it, where use is to be reported."""
+        """Return the usage reporter and counter, or None for both if usage is not reported."""
         settings = self._settings.usage
         duty_platform = self._adapter.create_duty_platform()
         if settings is None or duty_platform is None:
@@ -302,14 +302,16 @@
 
     def _drain(self) -> None:
         """
-        Fail the readiness check, hand over batches, answer whoever still comes, and end.
+        Fail the readiness check, hand over batches, answer remaining requests, and stop.
 
-        Clients are sent here until the check has failed twice, and keep connections that they
-        use again. Each answer from now on closes its connection; a process that ended at once
-        would cut requests that were on their way.
+        The platform routes clients here until the check has failed twice, and clients reuse
+        their connections. An immediate exit would cut requests that are already on their way, so
+        every response from now on closes its connection instead.
         """
         deadline = clock.start_deadline(self._settings.grace_seconds - _STOP_MARGIN_SECONDS)
-        log.logger.bind(event="stopping", running=self._batch_runner.running).info("finishing")
+        log.logger.bind(event="stopping", running=self._batch_runner.running).info(
+            "draining requests and batches"
+        )
         self._leaving.set()
         self._version_reconciler.stop()
         if self._usage_reporter is not None:
@@ -323,7 +325,7 @@
             pause.wait(_DRAIN_POLL_SECONDS)
         if self._api_server.connections:
             log.logger.bind(event="drain-cut", connections=self._api_server.connections).error(
-                "stopping with requests in progress"
+                "drain deadline passed, closing connections with requests in progress"
             )
         if self._usage_reporter is not None:
             self._usage_reporter.flush()
--- a/programs/oleanderdeal/oleanderdeal/route_lookup.py
+++ b/programs/oleanderdeal/oleanderdeal/route_lookup.py
@@ -1,4 +1,4 @@
-"""Finds a request's route and who makes it, or says what can be said where it can't."""
+"""Looks up the route and the organisation of a request in the newest known configuration."""
 
 import collections.abc
 import dataclasses
@@ -9,47 +9,52 @@
 from oleander_direct import directory, organisations, routes
 
 _RETRY_AFTER_MS = 200
-"""Soon: the refusal is of one entry, and another may know the newest configuration."""
+"""Short, because another entry may already know the newest configuration."""
 _NO_CONFIGURATION_REASON = "no configuration yet"
 _STALE_REASON = "the newest configuration may be unknown here"
 _MAX_LOGGED_CHARACTERS = 120
-"""Characters of a text from outside in a log line."""
+"""Longest part of a client-supplied text that is copied into a log line."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NoRoute:
-    """No route is known here."""
+    """No known route matches the request."""
 
     is_certain: bool
-    """Whether the newest configuration has none; else another entry may know one."""
+    """Whether the answer is final; if not, another entry may have a newer configuration."""
     reason: str
     retry_after_ms: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NoAccess:
-    """No organisation holds the key, as far as is known here."""
+    """No known organisation holds the API key."""
 
     is_certain: bool
-    """Whether the newest configuration has none; else another entry may know one."""
+    """Whether the answer is final; if not, another entry may have a newer configuration."""
     reason: str
     retry_after_ms: int
 
 
 class RouteLookup:
-    """Looks up routes and keys in the newest configuration; denies only what it is sure of."""
+    """
+    Looks up routes and API keys.
+
+    A failed lookup is final only if this process knows the newest configuration; otherwise the
+    client is asked to retry, since another entry may know more.
+    """
 
     def __init__(
         self, known_servers: directory.Directory, is_stale: collections.abc.Callable[[], bool]
     ) -> None:
-        """Take what tells that a newer configuration may be in force."""
+        """Create a lookup; `is_stale` returns whether a newer configuration may exist."""
         self._directory = known_servers
         self._is_stale = is_stale
 
     def find(
         self, host: str, path: str, request_id: str
     ) -> expression.Result[routes.Route, NoRoute]:
-        """Return a request's route."""
+        """Return the route for a host and path."""
         table = self._directory.table
         if table is None:
             return _refuse_unresolved(_NO_CONFIGURATION_REASON)
@@ -70,7 +75,7 @@
     def identify(
         self, authorization: str, is_public: bool, request_id: str
     ) -> expression.Result[organisations.Caller, NoAccess]:
-        """Return who calls; the key is in no log line."""
+        """Return the caller that an Authorization header identifies; never logs the key."""
         table = self._directory.table
         if table is None:
             return expression.Error(NoAccess(False, _NO_CONFIGURATION_REASON, _RETRY_AFTER_MS))
--- a/programs/oleanderdeal/oleanderdeal/version_publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/version_publisher.py
@@ -1,4 +1,4 @@
-"""Announces weight versions in the log, which every process then follows."""
+"""Publishes weight versions to the configuration log, which every process follows."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PublishError:
-    """A version that is not known to be in force."""
+    """A version that could not be confirmed as published; the fields go into the response."""
 
     status: int
     detail: str
@@ -24,7 +24,7 @@
 
 
 class VersionPublisher:
-    """Appends a version once and waits until it was read back."""
+    """Appends a version once and waits until the follower has read it back."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
     def publish(
         self, customer: str, model: str, version: int, uri: str, deadline: clock.Deadline
     ) -> expression.Result[int, PublishError]:
-        """Return the offset of the record that put the version, or a higher one, in force."""
+        """Return the offset of the record that published this version or a higher one."""
         if self._find_offset(model, version) is None:
             error = self._append(customer, model, version, uri, deadline)
             if error is not None:
@@ -49,7 +49,13 @@
             if offset is not None:
                 return expression.Ok(offset)
         return expression.Error(
-            PublishError(504, "The version was not read back.", "unknown", "too-late", 1000)
+            PublishError(
+                504,
+                "The version was not read back from the log in time.",
+                "unknown",
+                "too-late",
+                1000,
+            )
         )
 
     def _find_offset(self, model: str, version: int) -> int | None:
@@ -64,5 +70,9 @@
         if appended.is_ok() or appended.error.may_have_effect:
             return None
         return PublishError(
-            503, "The log is down.", "not-run", "log-down", max(200, appended.error.retry_after_ms)
+            503,
+            "The log is unavailable.",
+            "not-run",
+            "log-down",
+            max(200, appended.error.retry_after_ms),
         )
--- a/programs/oleanderdeal/oleanderdeal/version_reconciler.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the weights of backend servers to the versions that trainers named."""
+"""Orders backend servers to load the weight versions that trainers announced."""
 
 import expression
 
@@ -10,19 +10,19 @@
 from oleanderdeal import ownership
 
 _ORDER_TIMEOUT_SECONDS = 0.8
-"""An order is answered before the load; a server that is silent for so long is left for later."""
+"""An order is acknowledged before the load starts; without an answer it is retried later."""
 _STATE_TIMEOUT_SECONDS = 0.4
-"""An engine that does not say its state in this time is left for later."""
+"""An engine that does not report its state in time is retried later."""
 _NEIGHBOR_TIMEOUT_SECONDS = 0.2
-"""For asking whether another server loads; one that is gone must not hold up the order."""
+"""Timeout for asking whether another server is loading; a dead one must not delay the order."""
 _MIN_TENURE_SECONDS = 1.0
-"""With less of the right left no order is begun: it could arrive when a successor may order."""
+"""With less of its lease left, a process sends no order: it could arrive after a successor's."""
 _PAUSE_SECONDS = 0.1
-"""Between rounds of orders."""
+"""Pause between rounds of orders."""
 
 
 class VersionReconciler:
-    """Gives orders to the servers that this process has the right to; one thread."""
+    """Sends load orders to the servers whose lease this process holds; not thread-safe."""
 
     def __init__(
         self,
@@ -49,18 +49,18 @@
         self._is_running = True
 
     def run(self) -> None:
-        """Order until the group stops or the process is about to leave."""
+        """Send due orders until the group stops or stop() is called, then release the leases."""
         while not self._group.is_stopping and self._is_running:
             self.give_due_orders()
             self._group.pause(_PAUSE_SECONDS)
         self._rights.release()
 
     def stop(self) -> None:
-        """Give no more orders and release the rights."""
+        """Make run() send no more orders and release the leases."""
         self._is_running = False
 
     def give_due_orders(self) -> None:
-        """Give the orders that are due now."""
+        """Run one round: acquire leases, check loads in progress, and send due orders."""
         table = self._directory.table
         if table is None:
             return
@@ -101,7 +101,7 @@
         return tenure
 
     def _check_pending_loads(self) -> None:
-        """Ask servers whether they have loaded; the list would tell a heartbeat later."""
+        """Ask servers whether they have loaded; their records would show it a heartbeat later."""
         for order in self._plan.list_unseen():
             state = self._read_state(order.server)
             if state.is_ok():
@@ -118,9 +118,9 @@
 
     def _is_loading(self, server: servers.Server) -> bool:
         """
-        Return whether a server says that it loads; asked once for all orders that are due now.
+        Return whether a server reports that it is loading, asking it at most once per round.
 
-        One that says nothing is taken not to load: it may be gone.
+        A server that does not answer counts as not loading, since it may be gone.
         """
         is_loading = self._loading_by_incarnation.get(server.incarnation)
         if is_loading is None:
@@ -134,7 +134,7 @@
     def _process_order(
         self, order: plan.PlannedOrder, backend_servers: list[servers.Server], keeps_running: bool
     ) -> None:
-        """Give one order, unless the server has the version or it is not the time."""
+        """Send an order, or defer it, unless the server already has the version."""
         state = self._read_state(order.server)
         if state.is_error() or state.ok.is_loading:
             self._plan.defer(order)
@@ -148,9 +148,9 @@
 
     def _must_defer(self, order: plan.PlannedOrder, backend_servers: list[servers.Server]) -> bool:
         """
-        Return whether too many servers load just now.
+        Return whether too many servers are loading at the moment.
 
-        Nobody is asked where loads are seen to end within their wave: each question may open a
+        Servers are only asked if loads may outlast their wave, since each query may open a
         connection.
         """
         if not self._plan.may_overlap:
@@ -163,10 +163,10 @@
 
     def _send_order(self, order: plan.PlannedOrder, accepted: int, keeps_running: bool) -> None:
         """
-        Send one order and take in what became of it.
+        Send an order and record its outcome.
 
-        The tenure is looked up right before the request leaves, and an order ends before it
-        does: a process that was suspended in between finds that it has passed.
+        The tenure is looked up just before the request is sent, and the request times out before
+        the tenure ends, so a process that was suspended in between sees that it has expired.
         """
         tenure = self._find_tenure(order.server)
         right = self._rights.find_right(order.server.server_id)
--- a/programs/oleanderdeal/oleanderdeal/weights.py
+++ b/programs/oleanderdeal/oleanderdeal/weights.py
@@ -1,8 +1,9 @@
 """
-Keeps one engine on the weight version in force.
+Keeps one engine on the weight version that the configuration asks for.
 
-Only this sidecar orders its engine to load weights, and each order carries the offset of the log
-record that asked for it, so an engine that checks numbers refuses an order older than one it had.
+Only this sidecar orders its engine to load weights. Each order carries the offset of the log
+record that requested it as its fencing number, so an engine that checks these numbers refuses an
+order older than one it has already accepted.
 """
 
 import collections.abc
@@ -22,31 +23,35 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class WeightState:
-    """What is known of the engine's weights at one moment."""
+    """A snapshot of what this sidecar knows about its engine's weights."""
 
     version: int | None
-    """The version that the engine confirmed, or nothing while it is in doubt."""
+    """The version that the engine last reported, or None while it is unknown."""
     orders_sent: int
-    """How many orders went out so far; two equal states have no order between them."""
+    """
+    Number of load orders sent so far.
+
+    It makes states comparable: if two states are equal, no order was sent between them.
+    """
     is_order_pending: bool
-    """Whether an order is being carried out, or may be without our knowing."""
+    """Whether a load is in progress, or may be because the outcome of an order is unknown."""
     marks_tokens: bool = dataclasses.field(default=True, compare=False)
-    """Whether the engine says of each token which version made it, as far as was seen."""
+    """Whether the engine marks each token with its version, judging by the last token seen."""
 
     @property
     def usable_version(self) -> int | None:
         """
-        The version that a new generation can be labelled with.
+        The version with which a new generation can be labelled, or None.
 
-        An engine that does not say which version made a token would work for nothing while an
-        order is open: its tokens may come from either version, and would be thrown away.
+        If the engine does not mark its tokens, tokens generated while a load order is pending may
+        come from either version and would be discarded, so no work is started then.
         """
         return self.version if self.marks_tokens or not self.is_order_pending else None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OrderReport:
-    """One order to the engine and what came of it, for the audit trail."""
+    """A load order and its outcome, for the audit log."""
 
     model: str
     version: int
@@ -55,7 +60,11 @@
 
 
 class WeightReconciler:
-    """Orders loads, confirms them by reading, and takes the engine out of rotation in doubt."""
+    """
+    Orders loads and confirms them by reading the engine's version.
+
+    While the version is unknown the engine is out of rotation.
+    """
 
     def __init__(
         self,
@@ -90,34 +99,34 @@
 
     @property
     def version(self) -> int | None:
-        """The version that new work runs on, or nothing while the engine is in doubt."""
+        """The version that new work runs on, or None if no work can be labelled now."""
         return self._state.usable_version
 
     @property
     def is_ordering(self) -> bool:
-        """Whether an order was given and not answered."""
+        """Whether a load order was sent and not answered yet."""
         return self._is_ordering
 
     def read_state(self) -> WeightState:
-        """Return what is known now."""
+        """Return the current snapshot of the engine's weights."""
         return self._state
 
     def wake(self) -> None:
-        """Look at the configuration now; a new version may be in force."""
+        """Check the configuration for a new version without waiting for the next poll."""
         self._changed.set()
 
     def stop_ordering(self) -> None:
-        """Give no more orders; the engine is leaving, and reads of the store are few."""
+        """Send no more orders: the engine is leaving, and the weight store's reads are scarce."""
         self._is_stopped = True
 
     def record_token_marking(self, marks_tokens: bool) -> None:
-        """Take in whether a token came with its version."""
+        """Record whether the engine marked its last token with a version."""
         if self._state.marks_tokens is not marks_tokens:
             with self._lock:
                 self._state = dataclasses.replace(self._state, marks_tokens=marks_tokens)
 
     def confirm_unchanged(self, before: WeightState) -> int | None:
-        """Return the version that ran ever since, or nothing if it can't be known."""
+        """Return the version that has run since `before`, or None if it may have changed."""
         read = self._backend.read_version(clock.start_deadline(_CALL_SECONDS))
         now = self._state
         if read.is_error() or read.ok.is_loading or before.is_order_pending:
@@ -128,14 +137,14 @@
         return before.version
 
     def run(self) -> None:
-        """Follow the version in force until the group stops."""
+        """Reconcile the engine with the configured version until the group stops."""
         while not self._group.is_stopping:
             pause = self.reconcile()
             self._changed.wait(pause)
             self._changed.clear()
 
     def reconcile(self) -> float:
-        """Do the next thing that is due; return how many seconds to wait before looking again."""
+        """Take the next due action; return the number of seconds until the next call."""
         wanted = self._configuration.find_version(self._model)
         if not self._confirm_by_reading():
             return _RETRY_SECONDS
@@ -152,11 +161,11 @@
 
     def _confirm_by_reading(self) -> bool:
         """
-        Read the version; return whether an order may be given.
+        Read the engine's version; return whether a load order may be sent.
 
-        It is read again and again, since a load whose answer was lost can end at any time. While
-        one is carried out the engine goes on with the version it says: were it left without work
-        then, a weight store that hangs would stop all engines.
+        The version is read on every round because a load whose answer was lost can finish at any
+        time. During a load the engine stays in rotation with the version it reports; otherwise a
+        weight store that hangs would stop all engines.
         """
         read = self._backend.read_version(clock.start_deadline(_CALL_SECONDS))
         if read.is_error():
@@ -168,21 +177,23 @@
 
     def _start_uncertainty(self) -> clock.Deadline:
         """
-        Return until when an order whose end was not seen may still take effect.
+        Return the deadline until which an order with an unknown outcome may still take effect.
 
-        An engine that ignores fencing numbers may yet carry out an order whose answer was lost, or
-        one of a killed sidecar, and so change its weights between two readings that agree. Only
-        an engine that also states no versions is held back for it: labels rest on what is stated
-        wherever there is that.
+        An engine that ignores fencing numbers may still carry out an order whose answer was lost,
+        or one of a killed sidecar, and so change its weights between two equal readings. This
+        only holds back engines that do not mark tokens either; if tokens are marked, samples are
+        labelled by the marks.
         """
         return clock.start_deadline_ms(self._load_timeout_ms)
 
     def _find_order_time(self, confirmed: int | None) -> clock.Deadline:
         """
-        Return when to order; an engine without weights has nothing to lose by going first.
+        Return when to send the next order.
 
-        The slot is kept until the engine has caught up: were it drawn anew for each version, an
-        engine whose versions come faster than its slots would never load any.
+        Loads are spread at random over time, except for an engine without weights: it serves
+        nothing, so it only waits for the backoff. The drawn slot is kept until the engine has
+        caught up. If it were drawn again for each version, an engine whose versions arrive faster
+        than its slots would never load any.
         """
         if confirmed is None:
             return self._order_after
