--- a/features/admission.feature
+++ b/features/admission.feature
@@ -1,10 +1,10 @@
-Feature: Admission at a backend server
-  Work is a list of id:priority:cost in ms, with :budget in ms where it matters; the id's first
-  letter is the customer. Customers a, b, c and d have shares of 50, 30, 20 and 1 percent.
+Feature: Admission to a backend server
+  Work is written id:priority:cost or id:priority:cost:budget, with cost and budget in ms; the first
+  letter of the id is the customer. Customers a, b, c and d have shares of 50, 30, 20 and 1 percent.
 
-  Scenario Outline: Urgent classes go first and customers of a class take turns by share
+  Scenario Outline: Urgent classes run first, and customers of a class share the slots by weight
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for <work>
+    When admission receives the work <work>
     Then admission runs in order <order>
 
     Examples:
@@ -15,18 +15,18 @@
       | a1:critical:60 a2:critical:60 b1:critical:10 b2:critical:10 | b1 b2 a1 a2          |
       | a1:7:10 a2:-3:10                                         | a2 a1                   |
 
-  Scenario Outline: Work is refused at once when it would be late
-    # The caller gets "not run" and when to come back while there is time to go elsewhere. Letting
-    # it wait would end in the same refusal later, and a slot spent on a late answer helps nobody.
+  Scenario Outline: Work that would miss its deadline is refused at once
+    # The caller gets "not run" and a retry time while it can still go elsewhere. If the work waited, the
+    # same refusal would come later, and a slot that is used for a late answer is wasted.
     Given an admission queue with <slots> slots and 100 places
-    When admission is asked for <before>
+    When admission receives the work <before>
     And admission hands out <running> works
     And admission time passes by <passed> ms
-    And admission is asked for <work>
-    Then admission answered <answer> to the last one
-    And admission said to come back after <least> to <most> ms
+    And admission receives the work <work>
+    Then admission answered <answer> to the last work
+    And admission said to retry after <least> to <most> ms
 
-    Examples: the budget does or does not cover wait and cost
+    Examples: the budget covers the wait and the cost, or not
       | slots | before                                  | running | passed | work                   | answer   | least | most |
       | 1     | a1:interactive:10                       | 1       | 0      | a2:interactive:10:21   | ok       | 0     | 0    |
       | 1     | a1:interactive:10                       | 1       | 0      | a2:interactive:10:19   | too-late | 50    | 100  |
@@ -36,30 +36,30 @@
       | 1     | a1:interactive:500                      | 1       | 400    | a3:interactive:10:111  | ok       | 0     | 0    |
       | 1     | a1:interactive:10                       | 0       | 0      | a2:interactive:30:20   | too-late | 50    | 100  |
 
-    Examples: only what goes first counts
+    Examples: only work that runs first counts
       | slots | before                                  | running | passed | work                   | answer   | least | most |
       | 1     | a1:sampling:500 a2:sampling:500         | 1       | 0      | b3:interactive:10:525  | ok       | 0     | 0    |
       | 1     | a1:interactive:10 a2:interactive:500    | 1       | 0      | b3:interactive:10:40   | ok       | 0     | 0    |
       | 1     | a1:critical:10 a2:critical:500          | 1       | 0      | b3:interactive:10:400  | too-late | 50    | 300  |
 
-    Examples: work that is overdue is expected to take as long again as it is late
+    Examples: overdue work is expected to need as much more time as it is late
       | slots | before                                  | running | passed | work                   | answer   | least | most |
       | 1     | a1:interactive:10                       | 1       | 5010   | a2:interactive:10:4000 | too-late | 1000  | 2100 |
 
-    Examples: when all that runs is late, new work is expected to take as long
+    Examples: when all running work is late, new work is expected to take as long
       | slots | before                                  | running | passed | work                   | answer   | least | most |
       | 2     | a1:interactive:10 a2:interactive:10     | 2       | 1000   | a3:interactive:10:1500 | too-late | 490   | 980  |
       | 2     | a1:interactive:10 a2:interactive:10     | 2       | 1000   | a3:interactive:10:2000 | ok       | 0     | 0    |
       | 3     | a1:interactive:10                       | 1       | 1000   | a3:interactive:10:100  | ok       | 0     | 0    |
 
-  Scenario Outline: A slow spell does not shut the queue for ever
-    # Each completed work took ten times its prediction, so all that follows is refused, nothing
-    # completes and nothing corrects the estimate. It fades by itself, so work is let in again.
+  Scenario Outline: The queue accepts work again after a slow period
+    # Each completed work took ten times its prediction, so that all new work is refused, nothing
+    # completes and the estimate is not corrected. It has to decay with time, or the queue stays shut.
     Given an admission queue with 1 slots and 100 places
     When admission runs 20 works that take 10 times the predicted 10 ms
     And admission time passes by <idle> ms
-    And admission is asked for a1:interactive:10:50
-    Then admission answered <answer> to the last one
+    And admission receives the work a1:interactive:10:50
+    Then admission answered <answer> to the last work
 
     Examples:
       | idle  | answer   |
@@ -67,20 +67,20 @@
       | 5000  | too-late |
       | 15000 | ok       |
 
-  Scenario: Work that was given up says nothing of how long work takes
-    # Preempted work ends early. Counted as service it would make all estimates too short, and
-    # callers would be let in whose answers come late.
+  Scenario: Preempted work does not change the estimated service time
+    # Preempted work ends early. If it counted as completed, all estimates would be too short, and work
+    # would be accepted that ends after its deadline.
     Given an admission queue with 1 slots and 100 places
-    When admission gives up 20 works of 10 ms before they run
-    And admission is asked for a1:interactive:10:9
-    Then admission answered too-late to the last one
+    When admission preempts 20 works of 10 ms at their start
+    And admission receives the work a1:interactive:10:9
+    Then admission answered too-late to the last work
 
-  Scenario Outline: At the bound more urgent work displaces the newest of the least urgent
-    # The displaced caller is told "not run" at once, with when to come back; it waits for nothing.
+  Scenario Outline: In a full queue more urgent work evicts the newest of the least urgent work
+    # The caller of the evicted work gets "not run" and a retry time at once instead of waiting in vain.
     Given an admission queue with 1 slots and <places> places
-    When admission is asked for <before>
-    And admission is asked for <work>
-    Then admission answered <answer> to the last one
+    When admission receives the work <before>
+    And admission receives the work <work>
+    Then admission answered <answer> to the last work
     And admission dropped <dropped>
 
     Examples:
@@ -92,13 +92,13 @@
       | 3      | a1:interactive:10 a2:interactive:10 a3:interactive:10   | b1:interactive:10 | ok         | a3:queue-full  |
       | 3      | a1:interactive:10 b2:interactive:10 b3:interactive:10   | d1:interactive:10 | queue-full | nothing        |
 
-  Scenario Outline: Each class keeps one place in twenty
-    # Without it a queue full of urgent work refuses every background sync, whose retry is refused
-    # again; the floor in service time can't help work that is never let in.
+  Scenario Outline: One place in twenty is reserved for each class
+    # Without reserved places a queue full of urgent work refuses every background sync and each of its
+    # retries; the minimum share of the service time can't help work that is never accepted.
     Given an admission queue with 1 slots and 20 places
     When admission is filled with 20 works of <filling> class
-    And admission is asked for <work>
-    Then admission answered <answer> to the last one
+    And admission receives the work <work>
+    Then admission answered <answer> to the last work
     And admission dropped <dropped>
 
     Examples:
@@ -108,12 +108,12 @@
       | interactive | b1:background:10 b2:background:10 | queue-full | a20:queue-full    |
       | background  | b1:critical:10 b2:critical:10   | ok         | a20:queue-full a19:queue-full |
 
-  Scenario Outline: Whatever happens, accepted work ends in exactly one way
-    # A caller that was told "not run" must never have run, and one that was let in must hear how it
-    # ended: handed out, dropped, or cancelled by itself. Random calls, also after the close.
+  Scenario Outline: Accepted work ends in exactly one way under random calls
+    # Work that was reported as "not run" must never have run, and accepted work must be handed out,
+    # dropped or cancelled, and only one of these. Holds for random calls, also after closing.
     Given an admission queue with <slots> slots and <places> places
     When admission gets 3000 random calls from seed <seed>
-    Then admission ended each accepted work once and kept its bounds
+    Then each work that admission accepted ended once, and the bounds were kept
 
     Examples:
       | slots | places | seed |
@@ -122,11 +122,11 @@
       | 4     | 40     | 3    |
       | 8     | 200    | 4    |
 
-  Scenario: Work whose deadline passes while it waits is answered and never handed out
-    # The one slot stays busy for longer than the waiting work has. Its caller hears "not run" as
-    # soon as the deadline is past, though no slot became free to look at the queue.
+  Scenario: Work whose deadline passes while it waits is dropped at once and never handed out
+    # The only slot is busy until after the deadline. The caller gets "not run" as soon as the deadline has
+    # passed, although no slot became free and no work was taken.
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for a1:sampling:10 a2:sampling:10:100 a3:sampling:10
+    When admission receives the work a1:sampling:10 a2:sampling:10:100 a3:sampling:10
     And admission hands out 1 works
     And admission time passes by 100 ms
     Then admission dropped a2:too-late
@@ -134,11 +134,11 @@
     When admission work a1 ends after 100 ms
     Then admission runs in order a3
 
-  Scenario Outline: Work that can no longer end in time makes way for work that can
-    # The work before it took longer than predicted. Its caller is told "not run" at once instead
-    # of a late answer, and the next caller's answer is not late too. Alone it is tried anyway.
+  Scenario Outline: Work that can no longer meet its deadline gives way to work that can
+    # The work before it took longer than predicted. The caller gets "not run" at once instead of a late
+    # answer, and the next work is not late as well. If no other work of its class waits, it is run anyway.
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for <work>
+    When admission receives the work <work>
     And admission hands out 1 works
     And admission time passes by 130 ms
     And admission work a1 ends after 130 ms
@@ -153,11 +153,11 @@
       | a1:interactive:100 a2:interactive:50:160                           | a2    | nothing     |
       | a1:interactive:100 a2:interactive:20:160 a3:interactive:50         | a2 a3 | nothing     |
 
-  Scenario Outline: Running work is given up only for more urgent work, and only when slots are short
+  Scenario Outline: Running work is preempted only for more urgent work, and only if no slot is free
     Given an admission queue with <slots> slots and 100 places
-    When admission is asked for <work>
+    When admission receives the work <work>
     And admission hands out <running> works
-    Then admission gives up <victim> for <priority> work
+    Then admission preempts <victim> for <priority> work
 
     Examples:
       | slots | work                                               | running | priority    | victim  |
@@ -169,7 +169,7 @@
 
   Scenario: Cancelled, finished and refused work leaves nothing behind
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for a1:interactive:10 a2:interactive:10 a3:interactive:10
+    When admission receives the work a1:interactive:10 a2:interactive:10 a3:interactive:10
     And admission hands out 1 works
     Then admission cancels a2 but not a1 or x9
     When admission work a1 ends after 10 ms
@@ -177,41 +177,41 @@
     Then admission runs in order a3
     And admission has 0 waiting and 0 running
 
-  Scenario: A queue that is closed refuses new work and finishes the rest
-    # A planned stop: the newcomer's caller is sent elsewhere at once, no request is cut.
+  Scenario: A closed queue refuses new work and runs the rest
+    # Planned stop: new work is refused at once, so that its caller goes elsewhere; no request is aborted.
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for a1:interactive:10 a2:interactive:10
+    When admission receives the work a1:interactive:10 a2:interactive:10
     And admission hands out 1 works
     And admission closes
-    And admission is asked for a3:critical:10
-    Then admission answered leaving to the last one
+    And admission receives the work a3:critical:10
+    Then admission answered leaving to the last work
     When admission work a1 ends after 10 ms
     Then admission runs in order a2
 
-  Scenario: A queue that is closed for a leave hands over what waits
-    # The callers of what waits hear at once that it did not run; what runs is finished.
+  Scenario: A closed queue can drop its waiting work
+    # A server is leaving: the callers of waiting work get "not run" at once, and running work is finished.
     Given an admission queue with 1 slots and 100 places
-    When admission is asked for a1:interactive:10 a2:interactive:10 a3:critical:10
+    When admission receives the work a1:interactive:10 a2:interactive:10 a3:critical:10
     And admission hands out 1 works
     And admission closes
-    And admission drops what waits
+    And admission drops the waiting work
     Then admission dropped a1:leaving a2:leaving
     And admission has 0 waiting and 1 running
     When admission work a3 ends after 10 ms
     Then admission has 0 waiting and 0 running
 
-  Scenario: Dropped work that nobody collects ends admission instead of memory
-    # A stuck collector: the queue would otherwise grow by one refusal for each displaced work.
+  Scenario: New work is refused while too much dropped work is not collected
+    # Guards against unbounded memory: with a stuck collector each evicted work would leave one refusal behind.
     Given an admission queue with 1 slots and 3 places
-    When admission is asked for a1:background:10 a2:background:10 a3:background:10
-    And admission is asked for b1:critical:10 b2:critical:10 b3:critical:10
-    And admission is asked for b4:critical:10
-    Then admission answered queue-full to the last one
+    When admission receives the work a1:background:10 a2:background:10 a3:background:10
+    And admission receives the work b1:critical:10 b2:critical:10 b3:critical:10
+    And admission receives the work b4:critical:10
+    Then admission answered queue-full to the last work
     And admission dropped a3:queue-full a2:queue-full a1:queue-full
 
-  Scenario Outline: Shares hold under saturation, whatever the arrivals and the predictions
-    # Customer a sends far more than its share and fills the queue; b's work takes longer than
-    # predicted. If either helped itself, the others' callers would see refusals below their share.
+  Scenario Outline: Shares hold under saturation for any arrival rates and prediction errors
+    # Customer a sends far more than its share and fills the queue; customer b's work takes longer than
+    # predicted. If either got more for it, the other customers would be refused below their shares.
     Given an admission queue with <slots> slots and <places> places
     When admission is simulated for <seconds> s with arrivals <arrivals> and service factors <factors>
     Then admission gave shares <shares> of the service time within 5 percent of each
@@ -224,24 +224,24 @@
       | 1     | 40     | 40      | a:90 c:90         | a:1 c:1       | a:71.4 c:28.6  |
       | 1     | 40     | 60      | a:90 b:7 c:90     | a:1 b:1 c:1   | a:60.2 b:15.75 c:24.1 |
 
-  Scenario Outline: Background work ends under a steady load of urgent work
-    # Without a floor a depot's sync would wait as long as bookings keep coming, which is all day.
-    # Urgent work also preempts whatever it may at each arrival; the sync still goes on.
+  Scenario Outline: Background work completes under a steady load of urgent work
+    # Without a minimum share a background sync would wait for as long as bookings arrive, which is all
+    # day. Urgent work also preempts all that it may at each arrival; the sync still has to complete.
     Given an admission queue with <slots> slots and 100 places
-    When admission is simulated with urgent work at <load> times what the slots can do
-    Then admission completed background work at 2 to 4 percent of it
+    When admission is simulated with urgent work at <load> times the capacity of the slots
+    Then admission gave background work 2 to 4 percent of the service time
 
     Examples:
       | slots | load |
       | 1     | 1.5  |
       | 4     | 2    |
 
-  Scenario Outline: Nothing that could have been met is refused, and nothing else is let in
-    # Each arrival is replayed without the later ones: refused work is let in with no deadline, to
-    # see when it would have ended. One piece of work is the grain of the estimate.
+  Scenario Outline: Work is refused if and only if it would have missed its deadline
+    # Each arrival is replayed without the later ones, and refused work is accepted without a deadline to
+    # see when it would have ended. The estimate may be wrong by the length of one work.
     Given an admission queue with <slots> slots and 1000 places
     When admission replays <count> arrivals of <customers> one by one
-    Then admission was never wrong by more than <grain> ms
+    Then admission's answers were never wrong by more than <grain> ms
 
     Examples:
       | slots | count | customers | grain |
@@ -249,7 +249,7 @@
       | 1     | 80    | a b c     | 40    |
       | 4     | 160   | a b c     | 40    |
 
-  Scenario: Works are each handed out once, to threads that take and submit at the same time
+  Scenario: Each work is handed out once when threads take and submit concurrently
     Given an admission queue with 4 slots and 1000 places
     When 4 threads submit 50 works each while 4 threads take for admission
     Then admission handed out all 200 once
--- a/features/admission_trials.py
+++ b/features/admission_trials.py
@@ -1,4 +1,4 @@
-"""A queue and its slots in simulated time, its loads played again, and random calls."""
+"""A simulated server with an admission queue, replays of its arrivals, and random calls."""
 
 import collections
 import heapq
@@ -12,8 +12,8 @@
 SEED = 20
 
 
-class Server:
-    """A queue and the slots behind it, in simulated time."""
+class SimulatedServer:
+    """An admission queue and the slots behind it, in simulated time."""
 
     def __init__(self, slots, places):
         self.now = 1000.0
@@ -50,39 +50,39 @@
             self.queue.take_dropped()
         self.now = moment
 
-    def give_up(self, work_id):
+    def preempt(self, work_id):
         self._ends = [end for end in self._ends if end[2].work_id != work_id]
         heapq.heapify(self._ends)
         self.queue.finish(work_id, 0.0, completed=False)
 
 
-def replay(slots, events, is_last_endless=False):
-    server = Server(slots, 1000)
+def replay(slots, events, is_last_unbounded=False):
+    server = SimulatedServer(slots, 1000)
     for number, (gap, work_id, cost_ms, budget_ms) in enumerate(events, start=1):
         server.run_until(server.now + gap)
-        is_endless = is_last_endless and number == len(events)
-        server.submit(work_id, 1, cost_ms, 1e9 if is_endless else budget_ms)
+        is_unbounded = is_last_unbounded and number == len(events)
+        server.submit(work_id, 1, cost_ms, 1e9 if is_unbounded else budget_ms)
     return server
 
 
 def measure_error(slots, events, answer):
-    """Return by how many ms the answer to the last event was wrong, if it was."""
-    server = replay(slots, events, is_last_endless=True)
+    """Return the ms by which the answer to the last event was wrong; 0 if it was right."""
+    server = replay(slots, events, is_last_unbounded=True)
     arrived_at = server.now
     server.run_until(arrived_at + 100)
-    late_ms = (server.ended_at[events[-1][1]] - arrived_at) * 1000 - events[-1][3]
-    return max(0.0, late_ms if answer is None else -late_ms)
+    overrun_ms = (server.ended_at[events[-1][1]] - arrived_at) * 1000 - events[-1][3]
+    return max(0.0, overrun_ms if answer is None else -overrun_ms)
 
 
 class RandomCalls:
-    """Calls a queue at random and counts how each work ended."""
+    """Calls a queue at random and counts how often each work ended."""
 
     def __init__(self, server, source):
         self.server = server
         self.accepted = set()
         self.ends = collections.Counter()
-        self.most_queued = 0
-        self.most_running = 0
+        self.max_queued = 0
+        self.max_running = 0
         self._source = source
         self._running = []
 
@@ -92,8 +92,8 @@
         if number % 20 == 0:
             self._collect()
         queue = self.server.queue
-        self.most_queued = max(self.most_queued, queue.queued)
-        self.most_running = max(self.most_running, queue.running)
+        self.max_queued = max(self.max_queued, queue.queued)
+        self.max_running = max(self.max_running, queue.running)
 
     def drain(self):
         self.server.queue.close()
--- a/features/gates.feature
+++ b/features/gates.feature
@@ -1,10 +1,10 @@
-Feature: Threads of an entry are kept free for urgent work
+Feature: An entry keeps threads free for urgent requests and for refusals
 
-  # A caller whose request finds no thread waits unseen, past its deadline, and is refused by nobody.
-  # That happened once every thread was held: each class kept to its bound, and their sum did not.
-  Scenario Outline: An entry's gates admit <asked> while others hold threads
-    Given an entry's gates for 20 threads, held by <critical> critical, <interactive> interactive, <background> background and <pulls> pulls
-    Then the entry's gates <answer> one more <asked>
+  # A request that finds no free thread waits in the server's own queue past its deadline, and is not even
+  # refused. This happened when each class kept to its own limit but the sum of the limits exceeded the pool.
+  Scenario Outline: An entry's gates for one more <asked> request while others hold threads
+    Given an entry's gates for 20 threads, held by <critical> critical, <interactive> interactive, <background> background and <pulls> pull requests
+    Then the entry's gates <answer> one more <asked> request
 
     Examples:
       | critical | interactive | background | pulls | asked       | answer |
--- a/features/heavy_load.feature
+++ b/features/heavy_load.feature
@@ -1,15 +1,15 @@
-Feature: What callers get while servers are full
-  Servers take 60 ms a request, as many at once as they have places, and refuse all others at once. Load is
-  given in parts of what the servers can do. Callers have 600 ms; one that is refused comes back when told.
+Feature: What callers get while servers are overloaded
+  A server takes 60 ms for a request, runs as many at once as it has slots, and refuses all others at once. Load is
+  relative to the capacity of the servers. Callers have 600 ms; a refused one retries after the time it was told.
 
-  Scenario Outline: Callers are served up to what the servers can do, and the others hear so at once
-    # Everybody arrives at once and servers are full. A caller that is held until its time is over
-    # can't try elsewhere, and work for callers that have left takes the places of those still there.
-    Given full-load servers with the places <places>
-    When callers arrive for 2 s at <load> of what these can do
-    Then at least <served> percent of what could be served is served in time
+  Scenario Outline: Callers are served up to the capacity of the servers, and the others are refused at once
+    # Under overload a caller that waits until its deadline can't try elsewhere, and requests of callers
+    # that have given up take the slots of those that still wait.
+    Given overloaded servers with the slots <places>
+    When callers arrive for 2 s at <load> of the servers' capacity
+    Then at least <served> percent of the callers that could be served are served in time
     And at most <refused> percent of the callers are served late or not at all
-    And a refusal takes the entry less than 150 ms, is true, and says when to come back
+    And a refusal takes the entry less than 150 ms, means not run, and says when to retry
 
     Examples:
       | places | load | served | refused |
@@ -20,12 +20,12 @@
       | 2 10   | 0.8  | 95     | 5       |
       | 1 1 10 | 0.8  | 95     | 5       |
 
-  Scenario Outline: Work is placed by what each server can carry
-    # A small server given an equal share is full while a large one beside it has places: its callers
-    # are refused for nothing, or wait for a second attempt.
-    Given full-load servers with the places <places>
-    When callers arrive for 2 s at 0.6 of what these can do
-    Then no server refuses more than <percent> percent of what comes to it
+  Scenario Outline: Requests are distributed by the capacity of each server
+    # With equal shares a small server is full while a large one has free slots: callers are refused
+    # without need, or wait for a second attempt.
+    Given overloaded servers with the slots <places>
+    When callers arrive for 2 s at 0.6 of the servers' capacity
+    Then no server refuses more than <percent> percent of its requests
 
     Examples:
       | places | percent |
@@ -33,13 +33,13 @@
       | 2 10   | 10      |
       | 2 4 8  | 10      |
 
-  Scenario Outline: Refused callers are told to come back the later, the more of them there are
-    # A crowd that all comes back after the same short time keeps the entry busy with refusing, and
-    # those refused together arrive together again. Told to wait past their objective they are lost.
-    Given <answered> answers and <refused> refusals each second, for callers with <objective> ms
+  Scenario Outline: The retry time grows with the number of refused callers
+    # If many refused callers retry after the same short time, the entry is busy refusing them, and they
+    # arrive together again. A caller that is told to wait past its latency objective is lost.
+    Given <answered> answers and <refused> refusals each second, and an objective of <objective> ms
     When <seconds> s have passed
-    Then a refused caller comes back after <least> to <most> ms
-    And refused callers don't come back together
+    Then a refused caller is told to retry after <least> to <most> ms
+    And refused callers are told different times
 
     Examples:
       | answered | refused | objective | seconds | least | most |
@@ -50,7 +50,7 @@
       | 0        | 100     | 600       | 2       | 180   | 300  |
       | 0        | 100     | 100       | 2       | 112   | 188  |
 
-  Scenario: A crowd that was refused long ago keeps nobody waiting
-    Given 10 answers and 100 refusals each second, for callers with 2000 ms
+  Scenario: Refusals from long ago do not raise the retry time
+    Given 10 answers and 100 refusals each second, and an objective of 2000 ms
     When 9 s have passed
-    Then the first caller that is refused comes back within 188 ms
+    Then the first refused caller is told to retry within 188 ms
--- a/features/raw_server.py
+++ b/features/raw_server.py
@@ -1,4 +1,4 @@
-"""A server that answers every request with given bytes, whole or not."""
+"""An HTTP server that answers with given bytes, which may be malformed or incomplete."""
 
 import contextlib
 import socket
@@ -9,16 +9,16 @@
 
 
 class RawServer:
-    """Serves one connection after the other; `pieces` are sent for each request it receives."""
+    """Serves connections one after the other and answers each request with `pieces`."""
 
-    def __init__(self, pieces, keeps_open=False, pause=0.0, most_answers=1000):
-        """Send pieces with a pause before each; after the most answers, close without one."""
+    def __init__(self, pieces, keeps_open=False, pause=0.0, max_answers=1000):
+        """Pause before each piece; after `max_answers` answers, close connections without one."""
         self.requests = []
         self.connections = 0
         self._pieces = pieces
         self._keeps_open = keeps_open
         self._pause = pause
-        self._most_answers = most_answers
+        self._max_answers = max_answers
         self._stopping = threading.Event()
         self._listener = socket.create_server(("127.0.0.1", 0))
         self._thread = threading.Thread(target=self._serve, daemon=True)
@@ -48,7 +48,7 @@
                 self._serve_connection(connection)
 
     def _serve_connection(self, connection):
-        while self._receive_request(connection) and len(self.requests) <= self._most_answers:
+        while self._receive_request(connection) and len(self.requests) <= self._max_answers:
             for piece in self._pieces:
                 if self._stopping.wait(self._pause):
                     return
--- a/features/steps/adapters_steps.py
+++ b/features/steps/adapters_steps.py
@@ -215,7 +215,7 @@
 @behave.when("{call} is made twice through one adapter and answered only the first time")
 def call_twice(context, call):
     answer = _create_answer("HTTP/1.1 200", _GOOD_BODIES[call])
-    _serve(context, [answer], keeps_open=True, most_answers=1)
+    _serve(context, [answer], keeps_open=True, max_answers=1)
     adapter = _ADAPTERS[call](context.server.url)
     first = _CALLS[call](adapter, clock.start_deadline(_SECONDS))
     assert first.is_ok(), first
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps for admission at a backend server; time is simulated."""
+"""Steps for admission to a backend server, with simulated time."""
 
 import collections
 import concurrent.futures
@@ -23,10 +23,10 @@
 
 @behave.given("an admission queue with {slots:d} slots and {places:d} places")
 def create_queue(context, slots, places):
-    context.server = admission_trials.Server(slots, places)
+    context.server = admission_trials.SimulatedServer(slots, places)
 
 
-@behave.when("admission is asked for {works}")
+@behave.when("admission receives the work {works}")
 def submit_works(context, works):
     for text in works.split():
         work_id, priority, cost_ms, *budget = text.split(":")
@@ -55,7 +55,7 @@
     context.server.queue.close()
 
 
-@behave.when("admission drops what waits")
+@behave.when("admission drops the waiting work")
 def drop_waiting(context):
     context.server.queue.drop_waiting()
 
@@ -67,11 +67,11 @@
         context.server.run_until(context.server.now + factor * cost / 1000, {"a": factor})
 
 
-@behave.when("admission gives up {count:d} works of {cost:d} ms before they run")
-def give_up_works(context, count, cost):
+@behave.when("admission preempts {count:d} works of {cost:d} ms at their start")
+def preempt_works(context, count, cost):
     for number in range(count):
         context.server.submit(f"a{number}-given-up", 2, cost)
-        context.server.give_up(context.server.queue.take(0).work_id)
+        context.server.preempt(context.server.queue.take(0).work_id)
 
 
 @behave.then("admission runs in order {order}")
@@ -83,17 +83,17 @@
     assert taken == order.split(), taken
 
 
-@behave.then("admission answered {answer} to the last one")
+@behave.then("admission answered {answer} to the last work")
 def check_answer(context, answer):
     refusal = context.server.answers[-1]
     assert (refusal.reason if refusal else "ok") == answer, refusal
 
 
-@behave.then("admission said to come back after {least:d} to {most:d} ms")
+@behave.then("admission said to retry after {least:d} to {most:d} ms")
 def check_retry(context, least, most):
     refusal = context.server.answers[-1]
-    retry_ms = refusal.retry_after_ms if refusal else 0
-    assert least <= retry_ms <= most, retry_ms
+    retry_after_ms = refusal.retry_after_ms if refusal else 0
+    assert least <= retry_after_ms <= most, retry_after_ms
 
 
 @behave.then("admission dropped {dropped}")
@@ -111,7 +111,7 @@
     assert (queue.queued, queue.running) == (queued, running), (queue.queued, queue.running)
 
 
-@behave.then("admission gives up {victim} for {priority} work")
+@behave.then("admission preempts {victim} for {priority} work")
 def check_preemptible(context, victim, priority):
     found = context.server.queue.find_preemptible(_read_priority(priority))
     assert (found or "nothing") == victim, found
@@ -150,7 +150,7 @@
         assert abs(given - percent) <= 0.05 * percent, (customer, given)
 
 
-@behave.when("admission is simulated with urgent work at {load:g} times what the slots can do")
+@behave.when("admission is simulated with urgent work at {load:g} times the capacity of the slots")
 def simulate_urgent(context, load):
     source = random.Random(admission_trials.SEED)
     server = context.server
@@ -164,10 +164,10 @@
             server.submit(f"d{number}-sync", 3, 400)
         victim = server.queue.find_preemptible(1)
         if victim is not None:
-            server.give_up(victim)
+            server.preempt(victim)
 
 
-@behave.then("admission completed background work at {least:d} to {most:d} percent of it")
+@behave.then("admission gave background work {least:d} to {most:d} percent of the service time")
 def check_background(context, least, most):
     found = context.server.service_ms
     percent = found["d", 3] / sum(found.values()) * 100
@@ -195,35 +195,38 @@
     ]
 
 
-@behave.then("admission was never wrong by more than {grain:g} ms")
+@behave.then("admission's answers were never wrong by more than {grain:g} ms")
 def check_errors(context, grain):
     assert max(context.errors) <= grain, max(context.errors)
 
 
 @behave.when(
-    "{givers:d} threads submit {count:d} works each while {takers:d} threads take for admission"
+    "{submitters:d} threads submit {count:d} works each while {takers:d} threads take for "
+    "admission"
 )
-def submit_from_threads(context, givers, count, takers):
+def submit_from_threads(context, submitters, count, takers):
     queue = admission.AdmissionQueue(context.server.slots, 1000)
     deadline = clock.start_deadline(30)
 
-    def give(giver):
+    def submit(submitter):
         for number in range(count):
-            item = work.Work(f"{giver}-{number}", f"{giver}", 1, 25, 0.1, deadline)
+            item = work.Work(f"{submitter}-{number}", f"{submitter}", 1, 25, 0.1, deadline)
             assert queue.submit(item).is_ok()
 
     def take():
-        while len(context.taken) < givers * count and not deadline.is_past:
+        while len(context.taken) < submitters * count and not deadline.is_past:
             item = queue.take(0.01)
             if item is not None:
                 context.taken.append(item.work_id)
                 queue.finish(item.work_id, 0.1)
 
     context.taken = collections.deque()
-    context.expected = {f"{giver}-{number}" for giver in range(givers) for number in range(count)}
-    with concurrent.futures.ThreadPoolExecutor(givers + takers) as pool:
+    context.expected = {
+        f"{submitter}-{number}" for submitter in range(submitters) for number in range(count)
+    }
+    with concurrent.futures.ThreadPoolExecutor(submitters + takers) as pool:
         futures = [pool.submit(take) for _ in range(takers)]
-        futures += [pool.submit(give, giver) for giver in range(givers)]
+        futures += [pool.submit(submit, submitter) for submitter in range(submitters)]
         for future in futures:
             future.result()
 
@@ -250,11 +253,11 @@
     context.calls.drain()
 
 
-@behave.then("admission ended each accepted work once and kept its bounds")
+@behave.then("each work that admission accepted ended once, and the bounds were kept")
 def check_ends(context):
     calls = context.calls
     assert len(calls.accepted) > 100
     assert set(calls.ends) == calls.accepted
     assert set(calls.ends.values()) == {1}
-    assert calls.most_queued <= calls.server.places
-    assert calls.most_running <= calls.server.slots
+    assert calls.max_queued <= calls.server.places
+    assert calls.max_running <= calls.server.slots
--- a/features/steps/gates_steps.py
+++ b/features/steps/gates_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gates of an entry's threads."""
+"""Steps for the limits on an entry's threads by request class."""
 
 import behave
 
@@ -6,8 +6,8 @@
 
 
 @behave.given(
-    "an entry's gates for {threads:d} threads, held by {critical:d} critical, "
-    "{interactive:d} interactive, {background:d} background and {pulls:d} pulls"
+    "an entry's gates for {threads:d} threads, held by {critical:d} critical, {interactive:d} "
+    "interactive, {background:d} background and {pulls:d} pull requests"
 )
 def step_hold_gates(context, threads, critical, interactive, background, pulls):
     context.gates = gates.ThreadGates(threads)
@@ -17,6 +17,6 @@
             assert context.gates.take(gate), gate
 
 
-@behave.then("the entry's gates {answer} one more {asked}")
+@behave.then("the entry's gates {answer} one more {asked} request")
 def step_check_gates(context, answer, asked):
     assert context.gates.take(gates.Gate(asked)) == (answer == "admit")
--- a/features/virtual_time.py
+++ b/features/virtual_time.py
@@ -1,4 +1,4 @@
-"""Time that passes only while all threads of a test wait, however busy the machine is."""
+"""Virtual time for threads: results don't depend on how busy the machine is."""
 
 import collections
 import concurrent.futures
@@ -11,11 +11,11 @@
 
 from oleander_base import clock
 
-_BEGIN_SECONDS = 1000.0
+_START_SECONDS = 1000.0
 
 
-class _Turn:
-    """A thread that waits; it is resumed once."""
+class _WaitingThread:
+    """A waiting thread, which is resumed only once."""
 
     __slots__ = ("event", "is_resumed")
 
@@ -26,71 +26,71 @@
 
 class VirtualTime:
     """
-    Runs threads one at a time, and sets the time forward to the next that is due.
+    Runs threads one at a time and, when all wait, advances the time to the next wake-up.
 
-    What the product's threads wait for has to go through `sleep`, `wait`, a pool or a semaphore of
-    this class. Real locks are allowed as long as nobody waits here while holding one.
+    Threads of the product may block only in `sleep`, `wait`, or a pool or semaphore of this
+    module. Real locks are allowed if no thread blocks here while it holds one.
     """
 
     def __init__(self):
-        self._now = _BEGIN_SECONDS
-        self._due = []
+        self._now = _START_SECONDS
+        self._wake_ups = []
         self._numbers = itertools.count()
         self._running = 0
         self._is_idle = threading.Event()
         self._errors = []
 
     def read_now(self):
-        """Return the seconds that this time shows."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def start(self, action, *arguments):
-        """Start a thread; it runs when the one that runs waits or ends."""
+        """Start a thread, which runs once the running thread waits or ends."""
         self._running += 1
-        turn = _Turn()
-        threading.Thread(target=self._run, args=(turn, action, *arguments), daemon=True).start()
-        self.wake(turn)
+        waiting = _WaitingThread()
+        threading.Thread(target=self._run, args=(waiting, action, *arguments), daemon=True).start()
+        self.wake(waiting)
 
-    def play(self, action, *arguments):
-        """Run an action and all that it starts to their end."""
+    def run(self, action, *arguments):
+        """Run an action and all threads that it starts until they end."""
         self.start(action, *arguments)
-        self._hand_over()
+        self._resume_next()
         self._is_idle.wait()
         assert not self._errors, self._errors
-        assert not self._running, f"{self._running} threads wait for nothing that comes"
+        assert not self._running, f"deadlock: {self._running} threads wait without a wake-up"
 
     def sleep(self, seconds):
-        """Let the others run for so long."""
-        turn = _Turn()
-        self.wake(turn, max(0.0, seconds))
-        self.pause(turn)
+        """Block the calling thread for this many virtual seconds."""
+        waiting = _WaitingThread()
+        self.wake(waiting, max(0.0, seconds))
+        self.pause(waiting)
 
     def wait(self, futures, timeout, return_when):
-        """Wait as `concurrent.futures.wait` does for the first of several futures."""
+        """Replace `concurrent.futures.wait` for the first of several futures."""
         assert return_when == concurrent.futures.FIRST_COMPLETED
         if not any(future.done() for future in futures):
-            turn = _Turn()
+            waiting = _WaitingThread()
             for future in futures:
-                future.add_done_callback(lambda _: self.wake(turn))
-            self.wake(turn, timeout)
-            self.pause(turn)
+                future.add_done_callback(lambda _: self.wake(waiting))
+            self.wake(waiting, timeout)
+            self.pause(waiting)
         return concurrent.futures.wait(futures, 0)
 
-    def wake(self, turn, seconds=0.0):
-        """Let a thread that waits, or is about to, go on after so long at the latest."""
-        if not turn.is_resumed:
-            heapq.heappush(self._due, (self._now + seconds, next(self._numbers), turn))
+    def wake(self, waiting, seconds=0.0):
+        """Schedule a waiting thread, or one that is about to wait, to be resumed after a time."""
+        if not waiting.is_resumed:
+            heapq.heappush(self._wake_ups, (self._now + seconds, next(self._numbers), waiting))
 
-    def pause(self, turn):
-        """Let others run until this thread is woken."""
-        self._hand_over()
-        turn.event.wait()
+    def pause(self, waiting):
+        """Block the calling thread until it is resumed by `wake`."""
+        self._resume_next()
+        waiting.event.wait()
 
     @contextlib.contextmanager
     def replace_in(self, module):
-        """Let a module's pools and waits, and the product's clock, go by this time."""
+        """Make a module's pools and waits, and the product's clock, use this time."""
         futures = types.SimpleNamespace(
-            ThreadPoolExecutor=lambda most, _: VirtualPool(self, most),
+            ThreadPoolExecutor=lambda max_threads, _: VirtualPool(self, max_threads),
             wait=self.wait,
             FIRST_COMPLETED=concurrent.futures.FIRST_COMPLETED,
         )
@@ -101,28 +101,28 @@
         ):
             yield
 
-    def _run(self, turn, action, *arguments):
-        turn.event.wait()
+    def _run(self, waiting, action, *arguments):
+        waiting.event.wait()
         try:
             action(*arguments)
         except Exception as error:
             self._errors.append(repr(error))
         self._running -= 1
-        self._hand_over()
+        self._resume_next()
 
-    def _hand_over(self):
-        while self._due:
-            due_at, _, turn = heapq.heappop(self._due)
-            if not turn.is_resumed:
+    def _resume_next(self):
+        while self._wake_ups:
+            due_at, _, waiting = heapq.heappop(self._wake_ups)
+            if not waiting.is_resumed:
                 self._now = max(self._now, due_at)
-                turn.is_resumed = True
-                turn.event.set()
+                waiting.is_resumed = True
+                waiting.event.set()
                 return
         self._is_idle.set()
 
 
 class VirtualSemaphore:
-    """A number of places, given out in the order in which they were asked for."""
+    """A fair semaphore in virtual time."""
 
     def __init__(self, time, places):
         self._time = time
@@ -133,9 +133,9 @@
         if self._places:
             self._places -= 1
             return
-        turn = _Turn()
-        self._waiting.append(turn)
-        self._time.pause(turn)
+        waiting = _WaitingThread()
+        self._waiting.append(waiting)
+        self._time.pause(waiting)
 
     def __exit__(self, *_):
         if self._waiting:
@@ -145,14 +145,14 @@
 
 
 class VirtualPool:
-    """Runs what is submitted on so many threads at most."""
+    """A thread pool in virtual time."""
 
-    def __init__(self, time, most_threads):
+    def __init__(self, time, max_threads):
         self._time = time
-        self._places = VirtualSemaphore(time, most_threads)
+        self._places = VirtualSemaphore(time, max_threads)
 
     def submit(self, action, *arguments):
-        """Return the future of an action."""
+        """Start an action and return its future."""
         future = concurrent.futures.Future()
         self._time.start(self._run, future, action, *arguments)
         return future
