--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -13,7 +13,7 @@
 STALE_FENCING = "stale-fencing"
 """The detail of the error when an engine refuses an order because a newer one came before."""
 
-_CANCEL_SECONDS = 2.0
+_CANCEL_TIMEOUT_SECONDS = 2.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _STATUS_OK = 200
 _STATUS_CONFLICT = 409
@@ -61,7 +61,7 @@
         self._cancelled.set()
         self._answer.abort()
         request = _create_post("/v1/cancel", {"request_id": self._request_id})
-        self._caller.call_once(request, clock.start_deadline(_CANCEL_SECONDS))
+        self._caller.call_once(request, clock.start_deadline(_CANCEL_TIMEOUT_SECONDS))
 
     def _read_chunk(self) -> expression.Result[engine.Chunk, engine.EngineError]:
         read = self._answer.read_line()
@@ -91,7 +91,7 @@
         answer = opened.ok
         if answer.status == _STATUS_OK:
             return expression.Ok(HttpGenerationStream(self._caller, generation.request_id, answer))
-        failure = _describe_status(answer.status, answer.retry_after_ms)
+        failure = _convert_status(answer.status, answer.retry_after_ms)
         answer.close()
         return expression.Error(failure)
 
@@ -100,7 +100,7 @@
     ) -> expression.Result[engine.EngineLoad, engine.EngineError]:
         """Return the load report, which lags."""
         request = http_exchange.Request("GET", "/v1/load")
-        received = _check_answer(self._caller.call_idempotent(request, deadline))
+        received = _parse_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
         answer = received.ok
@@ -131,8 +131,8 @@
         return _read_version(self._caller.call_once(request, deadline))
 
 
-_Received = expression.Result[json_input.ObjectReader, engine.EngineError]
-_Answered = expression.Result[http_exchange.Answer, http_exchange.ExchangeError]
+_ContentResult = expression.Result[json_input.ObjectReader, engine.EngineError]
+_AnswerResult = expression.Result[http_exchange.Answer, http_exchange.ExchangeError]
 
 
 def _create_post(path: str, content: dict[str, typing.Any]) -> http_exchange.Request:
@@ -160,12 +160,12 @@
     return engine.EngineError(error.detail, not_run, 0)
 
 
-def _describe_status(status: int, retry_after_ms: int) -> engine.EngineError:
+def _convert_status(status: int, retry_after_ms: int) -> engine.EngineError:
     not_run = status == _STATUS_UNAVAILABLE
     return engine.EngineError(f"the engine answered with status {status}", not_run, retry_after_ms)
 
 
-def _check_answer(answered: _Answered) -> _Received:
+def _parse_answer(answered: _AnswerResult) -> _ContentResult:
     if answered.is_error():
         return expression.Error(_convert_error(answered.error))
     answer = answered.ok
@@ -174,13 +174,13 @@
         return expression.Ok(content)
     if answer.status == _STATUS_CONFLICT and content.take_text("reason") == STALE_FENCING:
         return expression.Error(engine.EngineError(STALE_FENCING, not_run=True, retry_after_ms=0))
-    return expression.Error(_describe_status(answer.status, answer.retry_after_ms))
+    return expression.Error(_convert_status(answer.status, answer.retry_after_ms))
 
 
 def _read_version(
-    answered: _Answered,
+    answered: _AnswerResult,
 ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
-    received = _check_answer(answered)
+    received = _parse_answer(answered)
     if received.is_error():
         return expression.Error(received.error)
     answer = received.ok
