--- a/libs/backends/oleander_backends/__init__.py
+++ b/libs/backends/oleander_backends/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers, behind one abstract class each: model engines and plain services."""
+"""Interfaces to the two kinds of backend servers, model engines and plain services."""
 
 from oleander_backends import engine, http_engine, http_service, service
 
--- a/libs/backends/oleander_backends/engine.py
+++ b/libs/backends/oleander_backends/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: streams tokens, takes orders to change its weights."""
+"""Interface to a model engine, which streams tokens and loads weight versions."""
 
 import abc
 import collections.abc
@@ -11,43 +11,43 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Generation:
-    """A request to generate; a resumed one starts after the tokens it already has."""
+    """A request to generate text; a resumed one continues after `resumed_text`."""
 
     request_id: str
     prompt: str
     prefix: str
-    """Names the shared start of the prompt, for the engine's prefix cache; may be empty."""
+    """Name of the prompt's shared prefix, for the engine's prefix cache; may be empty."""
     max_tokens: int
     priority: int
-    """Lower goes first."""
+    """Lower values run first."""
     resumed_text: str
     resumed_tokens: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Chunk:
-    """Tokens that one weight version produced."""
+    """A piece of a generated text, produced by one weight version."""
 
     text: str
     tokens: int
     version: int | None
-    """The weight version that produced them, or nothing where the engine does not say."""
+    """The weight version that produced it; None if the engine doesn't report it."""
     is_last: bool
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineError:
-    """A call that failed."""
+    """Why a call to the engine failed."""
 
     detail: str
     not_run: bool
-    """Whether the engine said that it did nothing."""
+    """Whether the call certainly had no effect: it was not sent, or the engine refused it."""
     retry_after_ms: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineLoad:
-    """What the engine says of its load, some time ago."""
+    """The load that the engine reports; it lags behind."""
 
     running: int
     waiting: int
@@ -56,16 +56,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineVersion:
-    """What the engine says of its weights, now."""
+    """The state of the engine's weights."""
 
     version: int | None
-    """The version that is loaded whole, or nothing after a load that failed midway."""
+    """The loaded version; None after a load that failed halfway."""
     is_loading: bool
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LoadOrder:
-    """An order to change weights; the fencing number is the offset of its log record."""
+    """
+    An order to load a weight version.
+
+    `fencing` is the fencing token, the offset of the order's log record. An engine that checks it
+    refuses an order with a lower token than one that it has seen.
+    """
 
     model: str
     version: int
@@ -73,40 +78,40 @@
 
 
 class GenerationStream(abc.ABC):
-    """The tokens of one running generation."""
+    """The output of a running generation."""
 
     @abc.abstractmethod
     def __iter__(
         self,
     ) -> collections.abc.Iterator[expression.Result[Chunk, EngineError]]:
-        """Yield chunks until the last one, or one error."""
+        """Yield chunks up to the last one, or up to a single error that ends the stream."""
 
     @abc.abstractmethod
     def cancel(self) -> None:
-        """Stop the generation at the engine; may be called from another thread."""
+        """Stop the generation at the engine; thread-safe."""
 
 
 class Engine(abc.ABC):
-    """The model engine beside a sidecar."""
+    """The model engine that a sidecar serves."""
 
     @abc.abstractmethod
     def generate(
         self, generation: Generation, deadline: clock.Deadline
     ) -> expression.Result[GenerationStream, EngineError]:
-        """Start a generation."""
+        """Start a generation; the deadline applies to its whole stream."""
 
     @abc.abstractmethod
     def read_load(self, deadline: clock.Deadline) -> expression.Result[EngineLoad, EngineError]:
-        """Return the load report, which lags."""
+        """Return the engine's load report, which lags behind."""
 
     @abc.abstractmethod
     def read_version(
         self, deadline: clock.Deadline
     ) -> expression.Result[EngineVersion, EngineError]:
-        """Return the weights that the engine runs now."""
+        """Return the weight version that the engine has loaded now."""
 
     @abc.abstractmethod
     def load_version(
         self, order: LoadOrder, deadline: clock.Deadline
     ) -> expression.Result[EngineVersion, EngineError]:
-        """Order the engine to change its weights; returns once they are loaded."""
+        """Order the engine to load a weight version; blocks until it is loaded."""
--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP."""
+"""HTTP client of a model engine."""
 
 import collections.abc
 import json
@@ -11,7 +11,7 @@
 from oleander_base import clock, http_exchange, json_input
 
 STALE_FENCING = "stale-fencing"
-"""The detail of the error when an engine refuses an order because a newer one came before."""
+"""Error detail when an engine refuses an order because it has seen a newer one."""
 
 _CANCEL_TIMEOUT_SECONDS = 2.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
@@ -22,9 +22,9 @@
 
 class HttpGenerationStream(engine.GenerationStream):
     """
-    Reads a generation line by line.
+    Reads a generation, which is sent as one JSON object per line.
 
-    The deadline of the generation ends it with an error; nothing is cancelled at the engine then,
+    When the deadline passes, iteration ends with an error. The engine goes on generating then
     unless `cancel` is called.
     """
 
@@ -39,7 +39,7 @@
     def __iter__(
         self,
     ) -> collections.abc.Iterator[expression.Result[engine.Chunk, engine.EngineError]]:
-        """Yield chunks until the last one, or one error; closes the connection at the end."""
+        """Yield chunks up to the last one or an error, then close the connection."""
         try:
             while True:
                 read = self._read_chunk()
@@ -51,10 +51,10 @@
 
     def cancel(self) -> None:
         """
-        Stop the generation at the engine; may be called from another thread.
+        Stop the generation at the engine; thread-safe.
 
-        A reader that waits gets its error at once; the engine is told after that, which takes two
-        seconds at most.
+        A blocked reader gets an error at once. The engine is told afterwards, which blocks the
+        caller of this method for at most two seconds.
         """
         if self._cancelled.is_set():
             return
@@ -75,7 +75,11 @@
 
 
 class HttpEngine(engine.Engine):
-    """Generates and orders loads on a new connection each time, reads on a kept one."""
+    """
+    Client of one engine.
+
+    Generations and load orders use a new connection each; reads reuse a kept connection.
+    """
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -83,7 +87,7 @@
     def generate(
         self, generation: engine.Generation, deadline: clock.Deadline
     ) -> expression.Result[engine.GenerationStream, engine.EngineError]:
-        """Start a generation; the deadline holds for its whole stream."""
+        """Start a generation; the deadline applies to its whole stream."""
         request = _create_post("/v1/generate", _encode_generation(generation))
         opened = self._caller.open_stream(request, deadline)
         if opened.is_error():
@@ -98,7 +102,7 @@
     def read_load(
         self, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineLoad, engine.EngineError]:
-        """Return the load report, which lags."""
+        """Return the engine's load report, which lags behind."""
         request = http_exchange.Request("GET", "/v1/load")
         received = _parse_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
@@ -114,7 +118,7 @@
     def read_version(
         self, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
-        """Return the weights that the engine runs now."""
+        """Return the weight version that the engine has loaded now."""
         request = http_exchange.Request("GET", "/v1/version")
         return _read_version(self._caller.call_idempotent(request, deadline))
 
@@ -122,9 +126,9 @@
         self, order: engine.LoadOrder, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
         """
-        Order the engine to change its weights; returns once they are loaded.
+        Order the engine to load a weight version; block until it is loaded.
 
-        An order that the engine refuses as older than another fails with `STALE_FENCING`.
+        The error's detail is `STALE_FENCING` if the engine has already seen a newer order.
         """
         content = {"model": order.model, "version": order.version, "fencing": order.fencing}
         request = _create_post("/v1/load", content)
--- a/libs/backends/oleander_backends/http_service.py
+++ b/libs/backends/oleander_backends/http_service.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""HTTP client of a plain service."""
 
 import expression
 
@@ -8,10 +8,10 @@
 
 class HttpService(service.Service):
     """
-    Calls on a new connection each time.
+    Client of one service; each call uses a new connection.
 
-    A status that tells of a failure is an answer too: what it means is between the caller and the
-    service, and it never proves that nothing was done.
+    Error statuses are returned as answers. Their meaning is up to the caller and the service, and
+    none of them proves that the call had no effect.
     """
 
     def __init__(self, base_url: str) -> None:
@@ -20,7 +20,7 @@
     def call(
         self, operation: str, key: str, body: bytes, deadline: clock.Deadline
     ) -> expression.Result[service.ServiceAnswer, service.ServiceError]:
-        """Call an operation once; never repeats by itself."""
+        """Call an operation once; the call is never retried here."""
         path = f"/call/{http_exchange.quote_segment(operation)}"
         request = http_exchange.Request("POST", path, body, {"Idempotency-Key": key})
         answered = self._caller.call_once(request, deadline)
--- a/libs/backends/oleander_backends/service.py
+++ b/libs/backends/oleander_backends/service.py
@@ -1,4 +1,4 @@
-"""A plain service: answers calls, some of which may not be repeated."""
+"""Interface to a plain service, some of whose operations must not be repeated."""
 
 import abc
 import dataclasses
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceAnswer:
-    """What the service answered."""
+    """The status and body that the service answered with."""
 
     status: int
     body: bytes
@@ -18,18 +18,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceError:
-    """A call without an answer."""
+    """Why a call got no answer."""
 
     detail: str
     not_run: bool
-    """Whether the call is known not to have reached the service."""
+    """Whether the call certainly did not reach the service."""
 
 
 class Service(abc.ABC):
-    """The plain service beside a sidecar."""
+    """The plain service that a sidecar serves."""
 
     @abc.abstractmethod
     def call(
         self, operation: str, key: str, body: bytes, deadline: clock.Deadline
     ) -> expression.Result[ServiceAnswer, ServiceError]:
-        """Call an operation once; never repeats by itself."""
+        """Call an operation once; the call is never retried here."""
