--- a/features/adapters.feature
+++ b/features/adapters.feature
@@ -1,13 +1,13 @@
 Feature: Adapters to the platform and to backend servers
-  An adapter returns an answer or a typed error, and the error claims no more than is known.
+  An adapter returns an answer or a typed error, which says "no effect" only if that is certain.
 
-  Scenario Outline: A failed append says whether its record may stand in the log
-    # The caller sees an error and has to know if its record can still turn up. The log drops the
-    # answer, or the connection before or after the append, or acts later than it is waited for.
-    # Only a refusal proves that nothing happened; all else is settled by reading the log.
+  Scenario Outline: A failed append says whether its record may be in the log
+    # The caller gets an error and has to know whether its record can still appear. The log loses the
+    # answer, or closes the connection before or after the append, or appends after the deadline.
+    # Only a refusal proves that nothing was appended; in all other cases the log has to be read.
     Given a log stand-in with the adapter's fault <fault>
     When one record is appended through the log adapter within <budget> ms
-    Then the log adapter says that it may have had effect: <effect>
+    Then the log adapter says that the append may have had an effect: <effect>
     And after the fault the log stand-in holds <records> records
 
     Examples:
@@ -20,16 +20,16 @@
       | {"late": 1, "late_ms": 100}   | 5000   | yes    | 1       |
       | "frozen"                      | 300    | yes    | 1       |
 
-  Scenario: An append over the rate limit has had no effect and says when to come back
+  Scenario: An append over the rate limit has no effect and says when to retry
     Given a log stand-in with the adapter's fault {"appends_per_second": 1}
     When records are appended through the log adapter until one fails
-    Then the log adapter says that it may have had effect: no
-    And the log adapter says to come back after 1000 ms
+    Then the log adapter says that the append may have had an effect: no
+    And the log adapter says to retry after 1000 ms
 
-  Scenario Outline: A service call that failed is "not run" only if it cannot have arrived
-    # The caller of a request that may not be repeated must learn whether it ran. The service dies,
-    # hangs, or drops the connection before or after its run; all but the first look alike from
-    # outside, so only the connection that never opened is reported as not run.
+  Scenario Outline: A failed service call is "not run" only if it cannot have arrived
+    # The caller of a request that must not be repeated has to learn whether it ran. The service is down,
+    # hangs, or closes the connection before or after the run. All but the first look alike to the
+    # client, so only a connection that was never opened is reported as not run.
     Given a service stand-in with the adapter's fault <fault>
     When the operation book is called through the service adapter within <budget> ms
     Then the service adapter says <result>
@@ -46,8 +46,8 @@
       | {"service_ms": 600}  | 300    | may have run | 1    |
       | "frozen"             | 300    | may have run | 1    |
 
-  Scenario Outline: Nothing listens
-    # The caller sees a refused connection: no byte of the request was sent, so it has not run.
+  Scenario Outline: A refused connection proves that nothing was done
+    # No byte of the request was sent, so it has not run.
     When <call> is made through the adapter to a port where nothing listens
     Then the adapter's error says that nothing was done
 
@@ -60,10 +60,10 @@
       | generate |
       | version |
 
-  Scenario Outline: An answer that is not what it should be is an error
-    # The caller sees a typed error, never an exception and never half an answer. The peer sends
-    # something malformed, or closes before the length that it stated, or states none, so that a
-    # cut answer could not be told from a whole one.
+  Scenario Outline: A malformed or incomplete answer is an error
+    # The caller gets a typed error, never an exception and never a part of an answer. The peer sends
+    # malformed data, or closes before the stated length, or states no length, in which case an
+    # incomplete answer could not be told from a complete one.
     When <call> is made through the adapter and answered with <head> and <body>
     Then the adapter's error names <detail> and says that something may have been done
 
@@ -101,20 +101,20 @@
       | stream   | HTTP/1.1 200                | {"text": "\ud800", "tokens": 1}          | line.text       |
       | stream   | HTTP/1.1 200;Transfer-Encoding: chunked | bad chunk                    | without its last line |
 
-  Scenario: An engine's refusals say that nothing was done
+  Scenario: Refusals by an engine are reported as nothing done
     When load is made through the adapter and answered with HTTP/1.1 409 and {"reason": "stale-fencing"}
     Then the adapter's error names stale-fencing and says that nothing was done
     When load is made through the adapter and answered with HTTP/1.1 503;Retry-After: 2 and {}
     Then the adapter's error names status 503 and says that nothing was done
-    And the adapter's error says to come back after 2000 ms
+    And the adapter's error says to retry after 2000 ms
     When generate is made through the adapter and answered with HTTP/1.1 503;Retry-After: soon and {}
     Then the adapter's error names status 503 and says that nothing was done
-    And the adapter's error says to come back after 0 ms
+    And the adapter's error says to retry after 0 ms
 
-  Scenario Outline: A request that may not be sent twice is sent once
-    # The caller sees an error. The server received the request, may have acted on it, and closed
-    # the connection without an answer; a client library that sent it again, as it may do with a
-    # read on a kept connection, would run it twice.
+  Scenario Outline: A request that must not be repeated is sent once
+    # The server received the request, may have run it, and closed the connection without an answer.
+    # A client library that sent it again, as is allowed for reads on a kept connection, would run it
+    # twice. The caller gets an error instead.
     When <call> is made twice through one adapter and answered only the first time
     Then the adapter reports an error and its server received <requests> requests
 
@@ -126,9 +126,9 @@
       | stream  | 2        |
       | read    | 3        |
 
-  Scenario Outline: Reads go on over a kept connection and survive its end
-    # The caller sees answers only. The server closes a kept connection between two reads, and the
-    # adapter finds out when it sends; a read does no harm when it is sent again.
+  Scenario Outline: Reads reuse a kept connection and survive its closing
+    # The server closes a kept connection between two reads, which the adapter notices only when it
+    # sends. Reads are safe to repeat, so the caller gets answers and no errors.
     Given a server for the adapter that <closes> after each answer
     When the host list is read 3 times through the adapter
     Then the adapter's server received 3 requests on <connections> connections
@@ -138,10 +138,10 @@
       | keeps connections open | 1           |
       | closes connections     | 3           |
 
-  Scenario Outline: A server that sends one byte in a while does not stretch the deadline
-    # The caller sees an error at its deadline, though the whole answer would come in the end. Each
-    # byte arrives in time for a timeout that starts anew with every receive.
-    When <call> is made through the adapter and its good answer trickles past the deadline
+  Scenario Outline: A server that sends single bytes slowly does not extend the deadline
+    # Each byte arrives within a timeout that restarts with every receive, so such a timeout would never
+    # fire. The caller gets an error at its deadline, before the answer is complete.
+    When <call> is made through the adapter and its answer arrives byte by byte past the deadline
     Then the adapter's error says that something may have been done
 
     Examples:
@@ -151,12 +151,12 @@
       | service |
       | stream  |
 
-  Scenario Outline: Cancelling a generation wakes its reader and tells the engine
-    # The caller's reader waits for a piece that takes minutes. Another thread cancels: the reader
-    # gets its one error at once, also from an engine that is paused and obeys only later; then
-    # the engine gives the slot back.
+  Scenario Outline: Cancelling a generation unblocks its reader and stops the engine
+    # A reader waits for a chunk that takes minutes, and another thread cancels. The reader gets a single
+    # error at once, even if the engine is paused and stops the generation only later; the engine then
+    # frees the slot.
     Given an engine stand-in for the adapter that takes 100000 ms for a token
-    And a generation read through the engine adapter on another thread
+    And a generation that another thread reads through the engine adapter
     And the engine stand-in for the adapter is <state>
     When the generation is cancelled through the engine adapter
     Then the engine adapter's reader ends with one error that names cancelled
--- a/features/steps/adapters_steps.py
+++ b/features/steps/adapters_steps.py
@@ -14,7 +14,7 @@
 
 _STREAM = "s"
 _SECONDS = 10.0
-_TRICKLE_SECONDS = 0.3
+_SLOW_ANSWER_TIMEOUT_SECONDS = 0.3
 _FRAMINGS = ("Content-Length", "Transfer-Encoding", "Connection: close")
 _BODIES = {
     "nested": b"[" * 200_000,
@@ -29,7 +29,7 @@
 
 
 def _read_stream(adapter, deadline):
-    """Return the last item of a stream, after checking that an error came alone and last."""
+    """Return the last item of a stream; assert that all items before it are chunks."""
     opened = adapter.generate(_generation(), deadline)
     if opened.is_error():
         return opened
@@ -68,11 +68,11 @@
 
 
 def _call(call, url, seconds=_SECONDS):
-    """Make a call with an adapter of its own."""
+    """Make a call with a new adapter."""
     return _CALLS[call](_ADAPTERS[call](url), clock.start_deadline(seconds))
 
 
-def _says_nothing_done(error):
+def _proves_no_effect(error):
     if hasattr(error, "may_have_effect"):
         return not error.may_have_effect
     return getattr(error, "not_run", False)
@@ -120,13 +120,13 @@
             return
 
 
-@behave.then("the log adapter says that it may have had effect: {effect}")
+@behave.then("the log adapter says that the append may have had an effect: {effect}")
 def check_effect(context, effect):
     assert context.result.error.may_have_effect == (effect == "yes"), context.result
 
 
-@behave.then("the log adapter says to come back after {milliseconds:d} ms")
-@behave.then("the adapter's error says to come back after {milliseconds:d} ms")
+@behave.then("the log adapter says to retry after {milliseconds:d} ms")
+@behave.then("the adapter's error says to retry after {milliseconds:d} ms")
 def check_retry_after(context, milliseconds):
     assert context.result.error.retry_after_ms == milliseconds, context.result
 
@@ -144,7 +144,7 @@
 
 
 def _append_marker(context):
-    """Append elsewhere, so that what was queued before it has been acted on."""
+    """Append to another stream, which completes after the appends that were queued before."""
     log = http_logservice.HttpLogService(context.url)
     assert log.append("marker", [{}], clock.start_deadline(_SECONDS)).is_ok()
 
@@ -175,7 +175,7 @@
 
 
 @behave.when("{call} is made through the adapter to a port where nothing listens")
-def call_nobody(context, call):
+def call_closed_port(context, call):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         url = f"http://127.0.0.1:{listener.getsockname()[1]}"
     context.result = _call(call, url)
@@ -205,11 +205,13 @@
     context.result = _call(call, context.server.url)
 
 
-@behave.when("{call} is made through the adapter and its good answer trickles past the deadline")
-def call_trickling(context, call):
+@behave.when(
+    "{call} is made through the adapter and its answer arrives byte by byte past the deadline"
+)
+def call_slow_server(context, call):
     answer = _create_answer("HTTP/1.1 200", _GOOD_BODIES[call])
     _serve(context, [answer[at : at + 1] for at in range(len(answer))], pause=0.02)
-    context.result = _call(call, context.server.url, _TRICKLE_SECONDS)
+    context.result = _call(call, context.server.url, _SLOW_ANSWER_TIMEOUT_SECONDS)
 
 
 @behave.when("{call} is made twice through one adapter and answered only the first time")
@@ -225,7 +227,7 @@
 @behave.then("the adapter's error names {detail} and says that something may have been done")
 def check_uncertain(context, detail):
     assert detail in context.result.error.detail, context.result
-    assert not _says_nothing_done(context.result.error), context.result
+    assert not _proves_no_effect(context.result.error), context.result
 
 
 @behave.then("the adapter's error says that something may have been done")
@@ -236,7 +238,7 @@
 @behave.then("the adapter's error names {detail} and says that nothing was done")
 def check_certain(context, detail):
     assert detail in context.result.error.detail, context.result
-    assert _says_nothing_done(context.result.error), context.result
+    assert _proves_no_effect(context.result.error), context.result
 
 
 @behave.then("the adapter's error says that nothing was done")
@@ -275,7 +277,7 @@
     cluster.start_stand_in("engine", "engine", "--token-ms", token_ms, "--prefill-ms", 0)
 
 
-@behave.given("a generation read through the engine adapter on another thread")
+@behave.given("a generation that another thread reads through the engine adapter")
 def start_reader(context):
     model = http_engine.HttpEngine(context.cluster.url("engine"))
     context.generation = model.generate(_generation(), clock.start_deadline(60.0)).ok
