--- a/features/code_comments.feature
+++ b/features/code_comments.feature
@@ -1,8 +1,9 @@
 Feature: Comments on constants say what they are for
-  How a value was found stands in docs/design and in the history; units stand in names.
+  How a value was found belongs into docs/design and the history, and units into names. A figure
+  stays in a comment only with what went wrong, or would go wrong, with it.
 
-  Scenario Outline: Constants of the product
-    # Guards against comments that go stale with the next measurement.
+  Scenario Outline: The constants of the product have no such comments
+    # Guards against comments that become wrong with the next measurement.
     Given the constants of <folder>
     Then none of them <fault>
 
@@ -18,8 +19,8 @@
       | platform              | tells how its value was found     |
       | platform              | is a time without a unit          |
 
-  Scenario Outline: Each of these is found
-    # Guards against a check that can't fail.
+  Scenario Outline: Figures without a reason and tuning notes are found
+    # Guards against a check that never fails.
     Given the constant <name> with the comment <comment>
     Then one of them <fault>
 
@@ -33,8 +34,8 @@
       | _RETRY_DELAY   | Between tries                              | is a time without a unit      |
       | _TIMEOUT       | Of a read                                  | is a time without a unit      |
 
-  Scenario Outline: Line comments are read as well
-    # Guards against notes that escape the check because they are not in a docstring.
+  Scenario Outline: Line comments are checked as well
+    # Guards against notes that pass because they are not in a docstring.
     Given the constant <name> and <place> it the line comment <comment>
     Then one of them <fault>
 
@@ -47,12 +48,12 @@
       | _LOAD_SECONDS | beside | Measured on a quiet day              | tells how its value was found |
       | _TIMEOUT      | above  | Of a read                            | is a time without a unit      |
 
-  Scenario: A comment apart from the constant is not its own
+  Scenario: A comment that is separated by an empty line does not belong to the constant
     Given the constant _WAVE_SECONDS and far above it the line comment A load takes 0.9 s
     Then none of them has a figure in its comment
 
   Scenario Outline: A figure that is the reason is kept
-    # Guards against a check that makes people delete why a value can't be otherwise.
+    # Guards against a check that forces the deletion of reasons for a value.
     Given the constant <name> with the comment <comment>
     Then none of them has a figure in its comment
     And none of them tells how its value was found
@@ -66,8 +67,8 @@
       | _RETRY_SECONDS   | A server that loaded for 0.9 s refused each retry until then    |
       | _MAX_CONNECTIONS | With 16, 80 of 400 timed out                                    |
 
-  Scenario Outline: A figure beside a reason is no reason
-    # Guards against a check that a word of failure anywhere in the comment satisfies.
+  Scenario Outline: A figure that merely stands beside a fault is found
+    # Guards against a check that any word of failure in the comment satisfies.
     Given the constant <name> with the comment <comment>
     Then one of them has a figure in its comment
 
--- a/features/steps/code_comments_steps.py
+++ b/features/steps/code_comments_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the comments on constants say."""
+"""Steps for the contents of comments on constants."""
 
 import ast
 import dataclasses
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Constant:
-    """A constant of a module, and its comment."""
+    """A module-level constant with its line comments and docstring as one text."""
 
     place: str
     name: str
@@ -87,7 +87,7 @@
 
 
 def _has_bare_figure(comment):
-    """Tell whether a figure stands in a clause that names no fault that comes of it."""
+    """Return whether a clause has a figure without a fault that follows from it."""
     clauses = _CLAUSE_END.split(" ".join(comment.split()))
     return any(_FIGURE.search(clause) and not _REASON.search(clause) for clause in clauses)
 
@@ -116,7 +116,7 @@
 
 
 def _find_line_comments(source):
-    """Return the text of each `#` comment and whether it has its line to itself, by line."""
+    """Map line numbers to the `#` comment there and whether the line holds nothing else."""
     tokens = tokenize.generate_tokens(io.StringIO(source).readline)
     return {
         token.start[0]: (token.string.lstrip("#: "), not token.line[: token.start[1]].strip())
