--- a/libs/routing/oleander_routing/health.py
+++ b/libs/routing/oleander_routing/health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejects peers that fail or are slow compared with their backend's others."""
+"""Outlier detection: ejects peers that fail or are slow compared with their backend."""
 
 import collections
 import dataclasses
@@ -24,7 +24,7 @@
 
 
 class _HealthState(enum.Enum):
-    """How much of its share of requests a peer gets."""
+    """Whether a peer gets all, some or none of its usual requests."""
 
     HEALTHY = enum.auto()
     EJECTED = enum.auto()
@@ -48,7 +48,7 @@
     ramp_started_at: float = 0.0
 
     def record_outcome(self, failed: bool, latency_ms: float | None) -> None:
-        """Update the averages; `latency_ms` is None if the time is no sample of the latency."""
+        """Update the averages; `latency_ms` is None if only the failure is to be counted."""
         self.failure_rate += _EWMA_WEIGHT * (float(failed) - self.failure_rate)
         if latency_ms is None:
             return
--- a/libs/routing/oleander_routing/peers.py
+++ b/libs/routing/oleander_routing/peers.py
@@ -6,9 +6,9 @@
 from oleander_routing import windows
 
 _LATENCY_EWMA_WEIGHT = 0.1
-"""Weight of the newest value in the moving average."""
+"""Weight of the newest latency in its moving average."""
 _EVENT_INTERVAL_EWMA_WEIGHT = 0.25
-"""Weight of the newest value in the moving average."""
+"""Weight of the newest interval in its moving average."""
 _SLOTS_PER_PENDING_STREAM = 3
 """
 Slots of a peer for each stream that may wait in its queue.
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -28,10 +28,10 @@
 _PROBE_FRACTION = 0.01
 """Fraction of first attempts that go to an ejected peer as a probe."""
 _WINDOWED_PROBE_FRACTION = 0.05
-"""The same for windowed requests: one or two out of a batch of some fifty."""
+"""Fraction of windowed requests that are probes: one or two in a batch of some fifty."""
 _MIN_RETRY_AFTER_MS = 50
 _DEFAULT_RETRY_AFTER_MS = 1000
-"""Used where no usable peer predicts a waiting time."""
+"""Retry time where no eligible peer exists whose waiting time could be given."""
 
 
 class RouteOutcome(enum.Enum):
@@ -62,7 +62,7 @@
     model: str = ""
     """The model to which `oldest_version` applies, if peers have several models."""
     is_windowed: bool = False
-    """Whether it is deferrable and therefore limited by each peer's request window."""
+    """Whether it is deferrable: sent only to a peer whose request window is open."""
     expected_events: float = 0.0
     """Expected number of events in its stream; 0 if unknown."""
 
@@ -97,7 +97,7 @@
         read_now: collections.abc.Callable[[], float] = clock.read_now,
         preferred_peers: preferred.PreferredPeers | None = None,
     ) -> None:
-        """Create a router; `preferred_peers`, if given, applies to requests without a window."""
+        """Create a router; `preferred_peers`, if given, applies to requests that aren't windowed."""
         self._random = random.Random(seed)
         self._preferred = preferred_peers or preferred.PreferredPeers("", 0)
         self._read_now = read_now
--- a/libs/routing/oleander_routing/windows.py
+++ b/libs/routing/oleander_routing/windows.py
@@ -9,15 +9,15 @@
 One batch runs and one waits, so that long texts reach a server at the start of a training step.
 """
 _MAX_WINDOW = 3.0
-"""In multiples of the slots; requests queued at a server can't move to another any more."""
+"""Upper limit, in multiples of the slots; queued requests can't move to another server."""
 _MIN_WINDOW = 1.0
-"""In multiples of the slots; a refusing server is full or loads weights, but is not slow."""
+"""Lower limit, in multiples of the slots; a refusing server is full or loading, not slow."""
 _TRIAL_INTERVAL_FRACTION = 0.25
 """Pause before the next trial, as a fraction of the time for which a server has refused."""
 _MIN_TRIAL_INTERVAL_SECONDS = 0.1
-"""Covers some round trips, and is a small part of a short load of weights."""
+"""Minimum pause before the next trial; some round trips, and a small part of a short load."""
 _MAX_TRIAL_INTERVAL_SECONDS = 0.4
-"""Bounds how long a server that accepts requests again stays idle until the next trial."""
+"""Maximum pause before the next trial; a server that has recovered stays idle until then."""
 _MIN_REFUSAL_TTL_SECONDS = 1.0
 """Minimum time after a refusal for which the server is assumed to refuse further requests."""
 _REFUSAL_TIMEOUT_SECONDS = 0.06
@@ -106,7 +106,7 @@
         self._schedule_trial(now, jitter)
 
     def record_success(self, slots: int) -> None:
-        """Record a success; a whole window of successes lets one more request in flight."""
+        """Record a success; each full window of successes raises the limit by one request."""
         self.size = min(_MAX_WINDOW, self.size + 1.0 / (self.size * slots * slots))
 
     @property
