--- a/libs/admission/oleander_admission/admission.py
+++ b/libs/admission/oleander_admission/admission.py
@@ -14,7 +14,7 @@
 
 _PREEMPTIBLE = frozenset({contract.Priority.SAMPLING, contract.Priority.BACKGROUND})
 _MIN_RUNNING = 2
-"""Running works from which on their elapsed times count as a sign of a slow server."""
+"""Minimum number of running works whose overrun counts as a sign of a slow server."""
 _MIN_RETRY_AFTER_MS = 50
 _MAX_RETRY_AFTER_MS = 60_000
 
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -97,7 +97,7 @@
         read_now: collections.abc.Callable[[], float] = clock.read_now,
         preferred_peers: preferred.PreferredPeers | None = None,
     ) -> None:
-        """Create a router; `preferred_peers`, if given, applies to requests that aren't windowed."""
+        """Create a router; `preferred_peers` applies to requests that aren't windowed."""
         self._random = random.Random(seed)
         self._preferred = preferred_peers or preferred.PreferredPeers("", 0)
         self._read_now = read_now
@@ -182,7 +182,7 @@
                 peer.record_event_interval(event_interval_ms)
 
     def record_accepted(self, name: str, started_at: float) -> None:
-        """Record that a peer has begun to run a request that was sent at `started_at`."""
+        """Record that a peer has begun to run, or has answered, a request sent at `started_at`."""
         with self._lock:
             peer = self._peers.get(name)
             if peer is not None:
--- a/libs/routing/oleander_routing/windows.py
+++ b/libs/routing/oleander_routing/windows.py
@@ -83,7 +83,7 @@
 
     def record_accepted(self, started_at: float) -> None:
         """
-        Record that the server has begun to run a request that was sent at `started_at`.
+        Record that the server has begun to run, or has answered, a request sent at `started_at`.
 
         A request from before the first refusal does not end the refusing state: servers that load
         weights go on with the requests that they already run.
