--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -89,11 +89,11 @@
     assert (refusal.reason if refusal else "ok") == answer, refusal
 
 
-@behave.then("admission said to retry after {least:d} to {most:d} ms")
-def check_retry(context, least, most):
+@behave.then("admission said to retry after {minimum:d} to {maximum:d} ms")
+def check_retry(context, minimum, maximum):
     refusal = context.server.answers[-1]
     retry_after_ms = refusal.retry_after_ms if refusal else 0
-    assert least <= retry_after_ms <= most, retry_after_ms
+    assert minimum <= retry_after_ms <= maximum, retry_after_ms
 
 
 @behave.then("admission dropped {dropped}")
@@ -146,8 +146,8 @@
     found = context.server.service_ms
     total = sum(found.values())
     for customer, percent in _read_numbers(shares).items():
-        given = found[customer, 1] / total * 100
-        assert abs(given - percent) <= 0.05 * percent, (customer, given)
+        found_percent = found[customer, 1] / total * 100
+        assert abs(found_percent - percent) <= 0.05 * percent, (customer, found_percent)
 
 
 @behave.when("admission is simulated with urgent work at {load:g} times the capacity of the slots")
@@ -167,11 +167,13 @@
             server.preempt(victim)
 
 
-@behave.then("admission gave background work {least:d} to {most:d} percent of the service time")
-def check_background(context, least, most):
+@behave.then(
+    "admission gave background work {minimum:d} to {maximum:d} percent of the service time"
+)
+def check_background(context, minimum, maximum):
     found = context.server.service_ms
     percent = found["d", 3] / sum(found.values()) * 100
-    assert least <= percent <= most, percent
+    assert minimum <= percent <= maximum, percent
 
 
 @behave.when("admission replays {count:d} arrivals of {customers} one by one")
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -158,8 +158,10 @@
 @behave.then("no server refuses more than {percent:d} percent of its requests")
 def check_refused_share(context, percent):
     caller = context.caller
-    parts = {name: caller.refused[name] / max(1, caller.received[name]) for name in caller.slots}
-    assert max(parts.values()) <= percent / 100, parts
+    refused_fractions = {
+        name: caller.refused[name] / max(1, caller.received[name]) for name in caller.slots
+    }
+    assert max(refused_fractions.values()) <= percent / 100, refused_fractions
 
 
 @behave.given(
@@ -183,10 +185,10 @@
     context.now = float(seconds)
 
 
-@behave.then("a refused caller is told to retry after {least:d} to {most:d} ms")
-def check_advice(context, least, most):
+@behave.then("a refused caller is told to retry after {minimum:d} to {maximum:d} ms")
+def check_advice(context, minimum, maximum):
     context.advised = [context.advice.advise(context.objective) for _ in range(9)]
-    assert least <= min(context.advised) and max(context.advised) <= most, context.advised
+    assert minimum <= min(context.advised) and max(context.advised) <= maximum, context.advised
 
 
 @behave.then("refused callers are told different times")
@@ -194,7 +196,7 @@
     assert len(set(context.advised)) > 5, context.advised
 
 
-@behave.then("the first refused caller is told to retry within {most:d} ms")
-def check_first(context, most):
+@behave.then("the first refused caller is told to retry within {maximum:d} ms")
+def check_first(context, maximum):
     advised = context.advice.advise(context.objective)
-    assert advised <= most, advised
+    assert advised <= maximum, advised
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -125,10 +125,10 @@
     context.simulation.run(_LOAD_START_SECONDS + seconds * 1.4 + 1.0)
 
 
-@behave.then("each loading server refuses at most {most:d} trials")
-def check_trials(context, most):
+@behave.then("each loading server refuses at most {maximum:d} trials")
+def check_trials(context, maximum):
     counts = [server.refused for server in context.loading]
-    assert max(counts) <= most, counts
+    assert max(counts) <= maximum, counts
 
 
 @behave.then(
@@ -142,12 +142,12 @@
         assert server.full_at - server.busy_at <= _FILL_SECONDS, server
 
 
-@behave.then("at least {part:g} of the texts that the other servers can run have ended")
-def check_done(context, part):
+@behave.then("at least {fraction:g} of the texts that the other servers can run have ended")
+def check_done(context, fraction):
     simulation = context.simulation
     others = len(simulation.servers) - len(context.loading)
-    could = (simulation.now - 2 * _TEXT_SECONDS) * others * _SLOTS / _TEXT_SECONDS
-    assert simulation.done >= part * could, (simulation.done, could)
+    capacity = (simulation.now - 2 * _TEXT_SECONDS) * others * _SLOTS / _TEXT_SECONDS
+    assert simulation.done >= fraction * capacity, (simulation.done, capacity)
 
 
 def _choose(context):
@@ -280,17 +280,17 @@
         context.stepped.now += gap - _TEXT_SECONDS
 
 
-@behave.then("that server gets {least:d} to {most:d} of them")
-@behave.then("that server gets {least:d} to {most:d} texts of the last step")
-def check_last_step(context, least, most):
-    assert least <= context.stepped.first_server_counts[-1] <= most, (
+@behave.then("that server gets {minimum:d} to {maximum:d} of them")
+@behave.then("that server gets {minimum:d} to {maximum:d} texts of the last step")
+def check_last_step(context, minimum, maximum):
+    assert minimum <= context.stepped.first_server_counts[-1] <= maximum, (
         context.stepped.first_server_counts
     )
 
 
-@behave.then("it got at most {most:d} texts of the first step")
-def check_first_step(context, most):
-    assert context.stepped.first_server_counts[0] <= most, context.stepped.first_server_counts
+@behave.then("it got at most {maximum:d} texts of the first step")
+def check_first_step(context, maximum):
+    assert context.stepped.first_server_counts[0] <= maximum, context.stepped.first_server_counts
 
 
 def _list_free_peers(context):
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -115,18 +115,18 @@
     assert found == names.split(), found
 
 
-@behave.then("routing chose {name} for {least:g} to {most:g} percent")
-def check_part(context, name, least, most):
+@behave.then("routing chose {name} for {minimum:g} to {maximum:g} percent")
+def check_part(context, name, minimum, maximum):
     chosen = [result.ok for result in context.results]
     percent = chosen.count(name) / len(chosen) * 100
-    assert least <= percent <= most, percent
+    assert minimum <= percent <= maximum, percent
 
 
-@behave.then("routing refused with {reason} for at least {least:d} ms")
-def check_refusal(context, reason, least):
+@behave.then("routing refused with {reason} for at least {minimum:d} ms")
+def check_refusal(context, reason, minimum):
     refusal = context.results[0].error
     assert refusal.reason == reason, refusal
-    assert least <= refusal.retry_after_ms <= 2 * least, refusal
+    assert minimum <= refusal.retry_after_ms <= 2 * minimum, refusal
 
 
 @behave.when("routing {count:d} prefixes")
@@ -145,17 +145,17 @@
     assert _place(_create_router(context, _SEED + 1), len(context.placed)) == context.placed
 
 
-@behave.then("routing gave each of {count:d} peers {least:d} to {most:d} prefixes")
-def check_prefixes(context, count, least, most):
+@behave.then("routing gave each of {count:d} peers {minimum:d} to {maximum:d} prefixes")
+def check_prefixes(context, count, minimum, maximum):
     found = collections.Counter(context.placed.values())
     assert len(found) == count, found
-    assert all(least <= number <= most for number in found.values()), found
+    assert all(minimum <= number <= maximum for number in found.values()), found
 
 
-@behave.then("routing gave {name} {least:d} to {most:d} prefixes")
-def check_peer_prefixes(context, name, least, most):
+@behave.then("routing gave {name} {minimum:d} to {maximum:d} prefixes")
+def check_peer_prefixes(context, name, minimum, maximum):
     found = list(context.placed.values()).count(name)
-    assert least <= found <= most, found
+    assert minimum <= found <= maximum, found
 
 
 @behave.then("routing moved only the prefixes of {name}")
@@ -179,9 +179,9 @@
     assert found == [number for number in (first, second) if number], found
 
 
-@behave.given("a retry budget of {percent:d} percent and at most {most:d} tokens")
-def create_budget(context, percent, most):
-    context.budgets = retries.RetryBudgets(most)
+@behave.given("a retry budget of {percent:d} percent and at most {maximum:d} tokens")
+def create_budget(context, percent, maximum):
+    context.budgets = retries.RetryBudgets(maximum)
     context.percent = percent
 
 
@@ -222,26 +222,27 @@
 
 
 @behave.when(
-    "backoff is drawn {count:d} times for attempt {attempt:d} from {base:d} ms up to {most:d} ms"
+    "backoff is drawn {count:d} times for attempt {attempt:d} from {base:d} ms up to {maximum:d} "
+    "ms"
 )
-def draw_backoff(context, count, attempt, base, most):
+def draw_backoff(context, count, attempt, base, maximum):
     source = random.Random(_SEED)
-    context.drawn = [retries.compute_backoff(attempt, base, most, source) for _ in range(count)]
+    context.drawn = [retries.compute_backoff(attempt, base, maximum, source) for _ in range(count)]
 
 
-@behave.then("backoff was between 0 and {most:d} ms, on average near the middle")
-def check_backoff(context, most):
-    assert min(context.drawn) >= 0 and max(context.drawn) <= most
+@behave.then("backoff was between 0 and {maximum:d} ms, on average near the middle")
+def check_backoff(context, maximum):
+    assert min(context.drawn) >= 0 and max(context.drawn) <= maximum
     mean = sum(context.drawn) / len(context.drawn)
-    assert 0.45 * most <= mean <= 0.55 * most, mean
+    assert 0.45 * maximum <= mean <= 0.55 * maximum, mean
 
 
-@behave.given("a router that prefers {most:d} peers, with the peers {text}")
-def create_preferring_router(context, most, text):
+@behave.given("a router that prefers {maximum:d} peers, with the peers {text}")
+def create_preferring_router(context, maximum, text):
     context.routing_now = 1000.0
     context.peers_text = text
     context.router = router.Router(
-        _SEED, lambda: context.routing_now, preferred.PreferredPeers("entry", most)
+        _SEED, lambda: context.routing_now, preferred.PreferredPeers("entry", maximum)
     )
     _report(context.router, text)
 
@@ -284,19 +285,19 @@
         assert seen == domains, chosen
 
 
-@behave.given("{count:d} routers that prefer {most:d} of {total:d} peers")
-def count_preferred(context, count, most, total):
+@behave.given("{count:d} routers that prefer {maximum:d} of {total:d} peers")
+def count_preferred(context, count, maximum, total):
     context.preferred_by = collections.Counter()
     text = " ".join(f"p{number}" for number in range(total))
     for number in range(count):
         chooser = router.Router(
-            number, lambda: 0.0, preferred.PreferredPeers(f"entry-{number}", most)
+            number, lambda: 0.0, preferred.PreferredPeers(f"entry-{number}", maximum)
         )
         _report(chooser, text)
         context.preferred_by.update({chooser.choose(build_request("any")).ok for _ in range(300)})
 
 
-@behave.then("each peer is preferred by {least:d} to {most:d} of them")
-def check_preferred_by(context, least, most):
+@behave.then("each peer is preferred by {minimum:d} to {maximum:d} of them")
+def check_preferred_by(context, minimum, maximum):
     counts = context.preferred_by.values()
-    assert least <= min(counts) and max(counts) <= most, context.preferred_by
+    assert minimum <= min(counts) and max(counts) <= maximum, context.preferred_by
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -29,8 +29,8 @@
         found = collections.Counter(name.rsplit("-", 1)[0] for name in chosen)
         for item in spread.split():
             group, bounds = item.split(":")
-            least, most = bounds.split("-")
-            assert int(least) <= found[group] <= int(most), found
+            minimum, maximum = bounds.split("-")
+            assert int(minimum) <= found[group] <= int(maximum), found
 
 
 @behave.when("each host of the subset's list is taken away in turn")
@@ -44,12 +44,13 @@
 
 
 @behave.then(
-    "the subset never changed by more than {most:d} host, and by {least:g} to {mean:g} on average"
+    "the subset never changed by more than {maximum:d} host, and by {minimum:g} to {mean:g} on "
+    "average"
 )
-def check_churn(context, most, least, mean):
-    assert max(context.changes) == most, max(context.changes)
+def check_churn(context, maximum, minimum, mean):
+    assert max(context.changes) == maximum, max(context.changes)
     found = sum(context.changes) / len(context.changes)
-    assert least <= found <= mean, found
+    assert minimum <= found <= mean, found
 
 
 def _count_entries(context):
