--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP."""
+"""HTTP client of a model engine."""
 
 import collections.abc
 import json
@@ -11,9 +11,9 @@
 from oleander_base import clock, http_exchange, json_input
 
 STALE_FENCING = "stale-fencing"
-"""The detail of the error when an engine refuses an order because a newer one came before."""
+"""Error detail when an engine refuses an order because it has seen a newer one."""
 
-_CANCEL_SECONDS = 2.0
+_CANCEL_TIMEOUT_SECONDS = 2.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _STATUS_OK = 200
 _STATUS_CONFLICT = 409
@@ -22,9 +22,9 @@
 
 class HttpGenerationStream(engine.GenerationStream):
     """
-    Reads a generation line by line.
+    Reads a generation, which is sent as one JSON object per line.
 
-    The deadline of the generation ends it with an error; nothing is cancelled at the engine then,
+    When the deadline passes, iteration ends with an error. The engine goes on generating then
     unless `cancel` is called.
     """
 
@@ -39,7 +39,7 @@
     def __iter__(
         self,
     ) -> collections.abc.Iterator[expression.Result[engine.Chunk, engine.EngineError]]:
-        """Yield chunks until the last one, or one error; closes the connection at the end."""
+        """Yield chunks up to the last one or an error, then close the connection."""
         try:
             while True:
                 read = self._read_chunk()
@@ -51,17 +51,17 @@
 
     def cancel(self) -> None:
         """
-        Stop the generation at the engine; may be called from another thread.
+        Stop the generation at the engine; thread-safe.
 
-        A reader that waits gets its error at once; the engine is told after that, which takes two
-        seconds at most.
+        A blocked reader gets an error at once. The engine is told afterwards, which blocks the
+        caller of this method for at most two seconds.
         """
         if self._cancelled.is_set():
             return
         self._cancelled.set()
         self._answer.abort()
         request = _create_post("/v1/cancel", {"request_id": self._request_id})
-        self._caller.call_once(request, clock.start_deadline(_CANCEL_SECONDS))
+        self._caller.call_once(request, clock.start_deadline(_CANCEL_TIMEOUT_SECONDS))
 
     def _read_chunk(self) -> expression.Result[engine.Chunk, engine.EngineError]:
         read = self._answer.read_line()
@@ -75,7 +75,11 @@
 
 
 class HttpEngine(engine.Engine):
-    """Generates and orders loads on a new connection each time, reads on a kept one."""
+    """
+    Client of one engine.
+
+    Generations and load orders use a new connection each; reads reuse a kept connection.
+    """
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -83,7 +87,7 @@
     def generate(
         self, generation: engine.Generation, deadline: clock.Deadline
     ) -> expression.Result[engine.GenerationStream, engine.EngineError]:
-        """Start a generation; the deadline holds for its whole stream."""
+        """Start a generation; the deadline applies to its whole stream."""
         request = _create_post("/v1/generate", _encode_generation(generation))
         opened = self._caller.open_stream(request, deadline)
         if opened.is_error():
@@ -91,16 +95,16 @@
         answer = opened.ok
         if answer.status == _STATUS_OK:
             return expression.Ok(HttpGenerationStream(self._caller, generation.request_id, answer))
-        failure = _describe_status(answer.status, answer.retry_after_ms)
+        failure = _convert_status(answer.status, answer.retry_after_ms)
         answer.close()
         return expression.Error(failure)
 
     def read_load(
         self, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineLoad, engine.EngineError]:
-        """Return the load report, which lags."""
+        """Return the engine's load report, which lags behind."""
         request = http_exchange.Request("GET", "/v1/load")
-        received = _check_answer(self._caller.call_idempotent(request, deadline))
+        received = _parse_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
         answer = received.ok
@@ -114,7 +118,7 @@
     def read_version(
         self, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
-        """Return the weights that the engine runs now."""
+        """Return the weight version that the engine has loaded now."""
         request = http_exchange.Request("GET", "/v1/version")
         return _read_version(self._caller.call_idempotent(request, deadline))
 
@@ -122,17 +126,17 @@
         self, order: engine.LoadOrder, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
         """
-        Order the engine to change its weights; returns once they are loaded.
+        Order the engine to load a weight version; block until it is loaded.
 
-        An order that the engine refuses as older than another fails with `STALE_FENCING`.
+        The error's detail is `STALE_FENCING` if the engine has already seen a newer order.
         """
         content = {"model": order.model, "version": order.version, "fencing": order.fencing}
         request = _create_post("/v1/load", content)
         return _read_version(self._caller.call_once(request, deadline))
 
 
-_Received = expression.Result[json_input.ObjectReader, engine.EngineError]
-_Answered = expression.Result[http_exchange.Answer, http_exchange.ExchangeError]
+_ContentResult = expression.Result[json_input.ObjectReader, engine.EngineError]
+_AnswerResult = expression.Result[http_exchange.Answer, http_exchange.ExchangeError]
 
 
 def _create_post(path: str, content: dict[str, typing.Any]) -> http_exchange.Request:
@@ -160,12 +164,12 @@
     return engine.EngineError(error.detail, not_run, 0)
 
 
-def _describe_status(status: int, retry_after_ms: int) -> engine.EngineError:
+def _convert_status(status: int, retry_after_ms: int) -> engine.EngineError:
     not_run = status == _STATUS_UNAVAILABLE
     return engine.EngineError(f"the engine answered with status {status}", not_run, retry_after_ms)
 
 
-def _check_answer(answered: _Answered) -> _Received:
+def _parse_answer(answered: _AnswerResult) -> _ContentResult:
     if answered.is_error():
         return expression.Error(_convert_error(answered.error))
     answer = answered.ok
@@ -174,13 +178,13 @@
         return expression.Ok(content)
     if answer.status == _STATUS_CONFLICT and content.take_text("reason") == STALE_FENCING:
         return expression.Error(engine.EngineError(STALE_FENCING, not_run=True, retry_after_ms=0))
-    return expression.Error(_describe_status(answer.status, answer.retry_after_ms))
+    return expression.Error(_convert_status(answer.status, answer.retry_after_ms))
 
 
 def _read_version(
-    answered: _Answered,
+    answered: _AnswerResult,
 ) -> expression.Result[engine.EngineVersion, engine.EngineError]:
-    received = _check_answer(answered)
+    received = _parse_answer(answered)
     if received.is_error():
         return expression.Error(received.error)
     answer = received.ok
