--- a/features/sample_trials.py
+++ b/features/sample_trials.py
@@ -33,7 +33,7 @@
 SAMPLE_TOKENS = 32
 SLOTS = 4
 _PAUSE_TOKENS = 8
-_MOST_PULLED = 4
+_MAX_PULLED_SAMPLES = 4
 _CALL_MS = 1000
 _WAIT_MS = 500
 _LONG_PULLS = ("--wait-ms", "1500")
@@ -56,17 +56,17 @@
         self._deployed = deployed
         self._cluster = deployed.cluster
         self._stages = {
-            "put": self._come_to_put,
-            "dispatched": self._come_to_dispatched,
-            "streaming": self._come_to_streaming,
-            "swapped": self._come_to_swapped,
-            "finished": self._come_to_finished,
-            "partly held": self._come_to_partly_held,
-            "answered": self._come_to_answered,
-            "answered again": self._come_to_answered_again,
+            "put": self._reach_put,
+            "dispatched": self._reach_dispatched,
+            "streaming": self._reach_streaming,
+            "swapped": self._reach_swapped,
+            "finished": self._reach_finished,
+            "partly held": self._reach_partly_held,
+            "answered": self._reach_answered,
+            "answered again": self._reach_answered_again,
         }
         self._held_relay = None
-        self.held_then = 0
+        self.held_at_stage = 0
 
     def start_trainer(self, process, name, entries=deployments.ENTRIES, *flags):
         """Start a trainer of the contract in a process of the given name."""
@@ -77,7 +77,7 @@
         arguments += ["--customer", CUSTOMER, "--trainer", name, "--model", MODEL]
         arguments += ["--token", token, "--staleness-bound", BOUNDS[name]]
         arguments += ["--groups", GROUPS, "--samples", SAMPLES // GROUPS]
-        arguments += ["--max-tokens", SAMPLE_TOKENS, "--most", _MOST_PULLED]
+        arguments += ["--max-tokens", SAMPLE_TOKENS, "--most", _MAX_PULLED_SAMPLES]
         arguments += ["--call-ms", _CALL_MS, "--wait-ms", _WAIT_MS]
         arguments += ["--weights-url", self._cluster.url("weights"), "--checks-marks"]
         arguments += ["--print-pulls", "--pulls-where-put", *flags]
@@ -87,7 +87,7 @@
     def bring_to(self, stage, trainer, flags):
         """Start a trainer and wait until its samples have reached a stage."""
         self._stages[stage](trainer, flags)
-        self.held_then = self.count_held("trainer")
+        self.held_at_stage = self.count_held("trainer")
 
     def release(self):
         """End the pauses and held answers that keep the samples at a stage; faults stay."""
@@ -196,34 +196,34 @@
     def _name_weights(self, version):
         return f"{self._cluster.url('weights')}/weights/{MODEL}/{version}"
 
-    def _come_to_put(self, trainer, flags):
+    def _reach_put(self, trainer, flags):
         self._pause_all(pause_start=True)
         self._hold_answers()
         self.start_trainer("trainer", trainer, deployments.ENTRIES, "--states-held", *flags)
         self._await_held_answer()
 
-    def _come_to_dispatched(self, trainer, flags):
+    def _reach_dispatched(self, trainer, flags):
         self._pause_all(pause_start=True)
         self.start_trainer("trainer", trainer, deployments.ENTRIES, *flags)
         self._await_running(0)
 
-    def _come_to_streaming(self, trainer, flags):
+    def _reach_streaming(self, trainer, flags):
         self._pause_all(pause_after=_PAUSE_TOKENS)
         self.start_trainer("trainer", trainer, deployments.ENTRIES, *flags)
         self._await_running(_PAUSE_TOKENS)
 
-    def _come_to_swapped(self, trainer, flags):
+    def _reach_swapped(self, trainer, flags):
         """Start the trainer one version ahead of the engines, which load it in mid-stream."""
-        self._come_to_streaming(trainer, ("--version-start", "2", *flags))
+        self._reach_streaming(trainer, ("--version-start", "2", *flags))
         self.publish(2)
         self.await_loaded(2)
 
-    def _come_to_finished(self, trainer, flags):
+    def _reach_finished(self, trainer, flags):
         self._hold_answers()
         self.start_trainer("trainer", trainer, deployments.ENTRIES, "--states-held", *flags)
         self.await_made(SAMPLES * SAMPLE_TOKENS)
 
-    def _come_to_partly_held(self, trainer, flags):
+    def _reach_partly_held(self, trainer, flags):
         self._pause("designs-b", pause_after=_PAUSE_TOKENS)
         self.start_trainer("trainer", trainer, deployments.ENTRIES, *flags)
         self.await_held("trainer", SLOTS)
@@ -235,14 +235,14 @@
             "what was made is held",
         )
 
-    def _come_to_answered(self, trainer, flags):
-        self._come_to_streaming(trainer, (*_LONG_PULLS, *flags))
+    def _reach_answered(self, trainer, flags):
+        self._reach_streaming(trainer, (*_LONG_PULLS, *flags))
         self._hold_next_answer()
         self._end_pauses()
         self._await_delivered(trainer, 1)
 
-    def _come_to_answered_again(self, trainer, flags):
-        self._come_to_partly_held(trainer, (*_LONG_PULLS, *flags))
+    def _reach_answered_again(self, trainer, flags):
+        self._reach_partly_held(trainer, (*_LONG_PULLS, *flags))
         self._hold_next_answer()
         self._end_pauses()
         self._await_delivered(trainer, self.count_held("trainer") + 1)
--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -73,7 +73,7 @@
     assert context.sample_registry.take_cancellations() == []
 
 
-class _Engine:
+class _EngineAttempt:
     """One attempt, with the versions that its engine used, whether stated or not."""
 
     def __init__(self, collector, work, lag):
@@ -117,7 +117,7 @@
         self.incarnation = 1
         self.engine_version = 7
         self.held = {}
-        self.said = {}
+        self.stated_held = {}
         self.running = []
         self.ended = []
         self.in_flight = None
@@ -129,7 +129,7 @@
         names, weights = zip(*self.EVENTS.items(), strict=True)
         for name in self.random.choices(names, weights, k=events):
             getattr(self, f"_{name}")()
-        self._end_well()
+        self._complete_step()
         for name in (metrics.SAMPLES_STALE, metrics.SAMPLES_REMADE):
             self.seen[name] = metrics.read_counts().get(name, 0) - self.counts.get(name, 0)
 
@@ -149,17 +149,21 @@
         names = ("caroni", "a", self.step, self.incarnation, self.version)
         step = steps.Step(*names, groups, held)
         collector = (entry or self._choose_entry()).register(step, _TERMS).ok
-        self.said[collector] = self.said.get(collector, frozenset()).union(held or ())
+        self.stated_held[collector] = self.stated_held.get(collector, frozenset()).union(
+            held or ()
+        )
 
     def _start_work(self):
         collector = self._choose_collector()
         work = collector.next_work() if collector else None
         if work is None:
             return
-        assert work.number not in self.said[collector], "made although it was said to be held"
+        assert work.number not in self.stated_held[collector], (
+            "started although the trainer holds it"
+        )
         self.seen["hedge"] += work.is_hedge
         self.seen["resumed"] += bool(work.resumed_text)
-        self.running.append(_Engine(collector, work, self.random.choice((0, 0, 0, 1, 2))))
+        self.running.append(_EngineAttempt(collector, work, self.random.choice((0, 0, 0, 1, 2))))
 
     def _stream(self):
         if not self.running:
@@ -212,17 +216,17 @@
         most = self.random.randint(1, 8)
         answer = collector.pull(pulls.Pull(self.incarnation, version, held, 0, most), 0.0)
         if answer.is_ok():
-            self.said[collector] = held
+            self.stated_held[collector] = held
         return answer
 
     def _receive(self):
         if self.in_flight is None:
             return
         for sample in self.in_flight.samples:
-            assert sample.number not in self.held, "doubled"
+            assert sample.number not in self.held, "duplicated"
             assert sample.oldest_version >= self.version - _TERMS.staleness_bound, "stale"
             named = "".join(f"[{part.version}]" * part.tokens for part in sample.label)
-            assert sample.text == named, "wrongly labelled or cut"
+            assert sample.text == named, "wrongly labelled or truncated"
             self.held[sample.number] = sample
         assert self.in_flight.complete == (len(self.held) == 8), "not complete"
         if self.in_flight.complete:
@@ -264,7 +268,7 @@
         self.incarnation += 1
         self.held = {}
 
-    def _end_well(self):
+    def _complete_step(self):
         """Play events without faults until the step is complete; fail if it never is."""
         entry, step = self._create_entry(), self.step
         self.entries = [entry, entry]
--- a/features/steps/samples_matrix_steps.py
+++ b/features/steps/samples_matrix_steps.py
@@ -84,21 +84,21 @@
 @behave.given("a samples deployment where {faults}")
 def start_samples_with(context, faults):
     start_samples(context)
-    meet_faults(context, faults)
+    inject_faults(context, faults)
 
 
 @behave.when("the samples of trainer {trainer} have reached stage {stage}")
-def bring_samples(context, trainer, stage):
+def reach_stage(context, trainer, stage):
     context.sample_trials.bring_to(stage, trainer, ())
 
 
 @behave.when("trainer {trainer} starts with {flags} and its samples have reached stage {stage}")
-def bring_samples_with(context, trainer, stage, flags):
+def reach_stage_with_flags(context, trainer, stage, flags):
     context.sample_trials.bring_to(stage, trainer, flags.split())
 
 
 @behave.step("these deployment events occur: {faults}")
-def meet_faults(context, faults):
+def inject_faults(context, faults):
     for fault in faults.split(","):
         _act(context, fault.strip())
 
@@ -107,7 +107,7 @@
 def restart_trainer(context, flags):
     context.deployment.cluster.kill("trainer")
     held = context.sample_trials.read_held("trainer")
-    context.sample_trials.held_then = sample_trials.count_numbers(held)
+    context.sample_trials.held_at_stage = sample_trials.count_numbers(held)
     more = flags.format(held=held).split()
     context.sample_trials.start_trainer("trainer", "near", deployments.ENTRIES, *more)
 
@@ -122,7 +122,7 @@
     "trainer process {name} receives every sample of {steps:d} steps once, not stale and"
     " correctly labelled"
 )
-def check_whole(context, name, steps, of_checkpoint=0):
+def check_complete(context, name, steps, of_checkpoint=0):
     code, summary = context.sample_trials.await_end(name)
     assert code == 0 and not summary["problems"], summary
     assert summary["steps"] == steps, summary
@@ -136,27 +136,27 @@
     " wasted tokens"
 )
 def check_arrived(context, wasted):
-    check_whole(context, "trainer", 1)
-    check_made(context, wasted)
+    check_complete(context, "trainer", 1)
+    check_wasted(context, wasted)
 
 
 @behave.then("at most {wasted} sample tokens were wasted")
-def check_made(context, wasted):
+def check_wasted(context, wasted):
     trials = context.sample_trials
-    unheld = (sample_trials.SAMPLES - trials.held_then) * sample_trials.SAMPLE_TOKENS
+    unheld = (sample_trials.SAMPLES - trials.held_at_stage) * sample_trials.SAMPLE_TOKENS
     named = {"unheld": unheld, "unheld-twice": 2 * unheld}
     most = named[wasted] if wasted in named else int(wasted)
     made = trials.count_tokens() - sample_trials.SAMPLES * sample_trials.SAMPLE_TOKENS
-    assert made <= most, f"{made} tokens beyond a step's, {trials.held_then} samples were held"
+    assert made <= most, f"{made} tokens beyond a step's, {trials.held_at_stage} samples were held"
 
 
 @behave.then(
     "the restarted trainer receives its remaining samples once, not stale and correctly labelled"
 )
-def check_rest(context):
-    held = context.sample_trials.held_then
+def check_remaining(context):
+    held = context.sample_trials.held_at_stage
     assert held > 0
-    check_whole(context, "trainer", 1, held)
+    check_complete(context, "trainer", 1, held)
 
 
 @behave.then("trainer process {name} ends as superseded, without a duplicate sample")
@@ -167,7 +167,7 @@
 
 
 @behave.then("{made:d} complete samples were generated in total")
-def check_made_in_all(context, made):
+def check_generated(context, made):
     tokens = context.sample_trials.count_tokens()
     assert tokens == made * sample_trials.SAMPLE_TOKENS, tokens
 
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -16,8 +16,8 @@
     """A step of finished short texts and one long text that is still being generated."""
 
     def __init__(self, gap_ms, wait_ms):
-        self._gap = gap_ms / 1000
-        self.spare_rate = None
+        self._piece_seconds = gap_ms / 1000
+        self.free_slot_rate = None
         policy = batch_run.POLICY
         assert isinstance(policy, hedging.StragglerPolicy)
         groups = tuple(steps.Group("", "", 1, 10_000) for _ in range(_SHORT_TEXTS + 1))
@@ -27,20 +27,20 @@
         works = [self._scheduler.start_next(0.0) for _ in groups]
         self._long, *shorts = works
         for work in shorts:
-            self._make_short(work, wait_ms / 1000)
+            self._finish_short(work, wait_ms / 1000)
 
-    def find_moved(self, pieces):
+    def count_pieces_before_move(self, pieces):
         """Return how many pieces the long text had when it was moved, or None if it never was."""
         made = 0
         now = 0.0
         while made < len(pieces):
             now += _TICK_SECONDS
             while made < len(pieces) and pieces[made] <= now:
-                self._note_piece(self._long, pieces[made])
+                self._record_piece(self._long, pieces[made])
                 made += 1
-            if now < self._whole_at:
+            if now < self._shorts_finished_at:
                 continue
-            if self._scheduler.start_next(now, free_slot_rate=self.spare_rate) is not None:
+            if self._scheduler.start_next(now, free_slot_rate=self.free_slot_rate) is not None:
                 return made
         return None
 
@@ -50,22 +50,22 @@
         now = wait
         for number in range(count):
             is_slow = slow_after and number >= slow_after
-            now += self._gap * (slower if is_slow else 1.0)
+            now += self._piece_seconds * (slower if is_slow else 1.0)
             now += pause if number == slow_after and slow_after else 0.0
             times.append(now)
         return times
 
-    def open_spare(self, slower):
+    def open_free_slot(self, slower):
         """Offer a free slot on an engine that is `slower` times slower than a normal one."""
-        self.spare_rate = _PIECE_TOKENS / (self._gap * slower)
+        self.free_slot_rate = _PIECE_TOKENS / (self._piece_seconds * slower)
 
-    def _make_short(self, work, wait):
+    def _finish_short(self, work, wait):
         for number in range(_SHORT_PIECES):
-            self._whole_at = wait + (number + 1) * self._gap
-            self._note_piece(work, self._whole_at)
-        self._scheduler.finish(work.work_id, None, self._whole_at)
+            self._shorts_finished_at = wait + (number + 1) * self._piece_seconds
+            self._record_piece(work, self._shorts_finished_at)
+        self._scheduler.finish(work.work_id, None, self._shorts_finished_at)
 
-    def _note_piece(self, work, at):
+    def _record_piece(self, work, at):
         self._scheduler.record_progress(work.work_id, "x", _PIECE_TOKENS, 1, at)
 
 
@@ -92,8 +92,8 @@
 
 
 @behave.given("an engine with a free slot that is {slower:g} times slower than the normal one")
-def open_spare(context, slower):
-    context.step.open_spare(slower)
+def open_free_slot(context, slower):
+    context.step.open_free_slot(slower)
 
 
 @behave.given("a text of {count:d} pieces at an engine that is {slower:g} times slower")
@@ -108,11 +108,11 @@
 
 @behave.then("the text is moved before it has {pieces:d} pieces")
 def check_moved(context, pieces):
-    made = context.step.find_moved(context.pieces)
+    made = context.step.count_pieces_before_move(context.pieces)
     assert made is not None and made < pieces, made
 
 
 @behave.then("the text is not moved")
 def check_stays(context):
-    made = context.step.find_moved(context.pieces)
+    made = context.step.count_pieces_before_move(context.pieces)
     assert made is None, made
