--- a/features/steps/batch_items_steps.py
+++ b/features/steps/batch_items_steps.py
@@ -49,7 +49,7 @@
 def _read_results(context):
     batch = context.process.journal.index.find("batch")
     results = []
-    while batch is not None and len(results) < len(batch.listed):
+    while batch is not None and len(results) < len(batch.result_locations):
         read = context.process.journal.read_results(batch, len(results), clock.start_deadline(1.0))
         results += read.ok.results
     return results
--- a/features/steps/batches_steps.py
+++ b/features/steps/batches_steps.py
@@ -66,7 +66,7 @@
             number, text = action.split("=")
             state = submission.ResultState.DONE
             result = submission.ItemResult(f"item-{number}", state, text, (1,), "s")
-            while self.journals[name].finish("batch", [(int(number), result)]).is_error():
+            while self.journals[name].append_results("batch", [(int(number), result)]).is_error():
                 pass
 
 
@@ -113,7 +113,7 @@
     for name, kept in context.shared.journals.items():
         batch = context.shared.find(name)
         texts = []
-        while len(texts) < len(batch.listed):
+        while len(texts) < len(batch.result_locations):
             read = kept.read_results(batch, len(texts), clock.start_deadline(_SECONDS))
             assert read.is_ok(), read.error
             texts += [f"{r.item_id.removeprefix('item-')}={r.text}" for r in read.ok.results]
@@ -187,7 +187,7 @@
 @behave.when('entry {name} keeps the start "{text}" of item {number:d} with {events:d} events')
 def keep_start(context, name, text, number, events):
     partial = submission.PartialText(number, text, events, ((1, events),))
-    assert context.shared.journals[name].keep_partials("batch", [partial]).is_ok()
+    assert context.shared.journals[name].append_partials("batch", [partial]).is_ok()
 
 
 @behave.then('entry {name} goes on with item {number:d} from "{text}"')
@@ -299,15 +299,15 @@
     context.deadline = clock.start_deadline(_FOLLOW_SECONDS)
     for number in range(count):
         context.shared.write(f"a:{number}=x", is_read=False)
-        while len(batch.listed) <= number and not context.deadline.is_past:
+        while len(batch.result_locations) <= number and not context.deadline.is_past:
             if context.has_trainer:
-                kept.index.wait_longer(batch, number, context.deadline)
+                kept.index.wait_for_results(batch, number, context.deadline)
             else:
-                kept.index.wait_change(_FOLLOW_SECONDS)
+                kept.index.wait_for_change(_FOLLOW_SECONDS)
 
 
 @behave.then("entry b knows all of them within {seconds:g} s")
 def check_followed(context, seconds):
     assert seconds == _FOLLOW_SECONDS
     batch = context.shared.find("b")
-    assert len(batch.listed) == batch.total, len(batch.listed)
+    assert len(batch.result_locations) == batch.total, len(batch.result_locations)
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -100,13 +100,13 @@
         self.returns_at = returns_at
         self.tries = 0
         self.is_stopping = False
-        batch = types.SimpleNamespace(finished=set())
+        batch = types.SimpleNamespace(finished_items=set())
         self.index = types.SimpleNamespace(find=lambda batch_id: batch)
 
-    def finish(self, batch_id, results):
+    def append_results(self, batch_id, results):
         self.tries += 1
         if self.now < self.returns_at:
-            return expression.Error(content.NotDone("refused", False))
+            return expression.Error(content.JournalFailure("refused", False))
         self.is_stopping = True
         return expression.Ok(None)
 
--- a/libs/batches/oleander_batches/fold.py
+++ b/libs/batches/oleander_batches/batch_table.py
@@ -5,12 +5,12 @@
 from oleander_base import clock
 from oleander_batches import records
 
-MOST_BATCHES = 4096
+MAX_BATCHES = 4096
 """Past this the batch that was accepted first is forgotten and reads as unknown."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class ResultPlace:
+class ResultLocation:
     """Which item a position of the listing holds, and where its result stands."""
 
     item_number: int
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class PartialPlace:
+class PartialLocation:
     """Where the start of a text stands."""
 
     content_offset: int
@@ -30,17 +30,17 @@
     """One accepted batch."""
 
     accepted: records.Accepted
-    seen_at: float
+    first_read_at: float
     """When this process read of it. No host's time of day decides how old a batch is: one that
     is an hour fast would give up items that have hardly begun."""
     is_ended: bool = False
-    listed: list[ResultPlace] = dataclasses.field(default_factory=list)
+    result_locations: list[ResultLocation] = dataclasses.field(default_factory=list)
     """The results in their order in the index, which no process can change."""
-    finished: set[int] = dataclasses.field(default_factory=set)
-    partials: dict[int, PartialPlace] = dataclasses.field(default_factory=dict)
+    finished_items: set[int] = dataclasses.field(default_factory=set)
+    partials: dict[int, PartialLocation] = dataclasses.field(default_factory=dict)
     runner: str = ""
     """Who said last that it runs the items; empty before that and after a hand-over."""
-    heard_at: float = 0.0
+    runner_heard_at: float = 0.0
     """When a runner's last record was read as it came; 0 where all are from before this process
     began to read, for nobody may be left who wrote them."""
 
@@ -68,10 +68,10 @@
     @property
     def is_open(self) -> bool:
         """Whether items of it may still be run."""
-        return not self.is_ended and len(self.finished) < self.total
+        return not self.is_ended and len(self.finished_items) < self.total
 
 
-class BatchFold:
+class BatchTable:
     """
     The batches that the index tells of; not thread-safe.
 
@@ -91,52 +91,52 @@
         """Return all batches, in the order of acceptance."""
         return list(self._batches.values())
 
-    def apply(self, record: records.IndexRecord, is_live: bool = True) -> None:
-        """Take in the next record; `is_live` tells those that come from those found at a start."""
+    def apply(self, record: records.IndexRecord, was_appended_later: bool = True) -> None:
+        """Take in the next record; not `was_appended_later` for those found at a start."""
         if isinstance(record, records.Accepted):
             self._accept(record)
             return
         batch = self._batches.get(record.batch_id)
         if batch is None:
             return
-        if is_live:
-            batch.heard_at = clock.read_now()
+        if was_appended_later:
+            batch.runner_heard_at = clock.read_now()
         if isinstance(record, records.Finished):
-            _finish(batch, record)
+            _record_result(batch, record)
         elif isinstance(record, records.Partial):
-            _note_partial(batch, record)
+            _record_partial(batch, record)
         elif isinstance(record, records.Taken):
             batch.runner = record.runner
         else:
             batch.is_ended = True
             batch.partials.clear()
 
-    def forget_older(self, seconds: float) -> None:
+    def evict_older(self, seconds: float) -> None:
         """Forget the batches that were read of so long ago."""
         horizon = clock.read_now() - seconds
         for batch_id, batch in list(self._batches.items()):
-            if batch.seen_at < horizon and not batch.is_open:
+            if batch.first_read_at < horizon and not batch.is_open:
                 del self._batches[batch_id]
 
     def _accept(self, record: records.Accepted) -> None:
         if record.batch_id in self._batches:
             return
-        while len(self._batches) >= MOST_BATCHES:
+        while len(self._batches) >= MAX_BATCHES:
             self._batches.pop(next(iter(self._batches)))
         self._batches[record.batch_id] = Batch(record, clock.read_now())
 
 
-def _finish(batch: Batch, record: records.Finished) -> None:
-    if record.item_number in batch.finished or not 0 <= record.item_number < batch.total:
+def _record_result(batch: Batch, record: records.Finished) -> None:
+    if record.item_number in batch.finished_items or not 0 <= record.item_number < batch.total:
         return
-    batch.finished.add(record.item_number)
+    batch.finished_items.add(record.item_number)
     batch.partials.pop(record.item_number, None)
-    batch.listed.append(ResultPlace(record.item_number, record.content_offset))
+    batch.result_locations.append(ResultLocation(record.item_number, record.content_offset))
 
 
-def _note_partial(batch: Batch, record: records.Partial) -> None:
-    if batch.is_ended or record.item_number in batch.finished:
+def _record_partial(batch: Batch, record: records.Partial) -> None:
+    if batch.is_ended or record.item_number in batch.finished_items:
         return
     known = batch.partials.get(record.item_number)
     if known is None or known.events < record.events:
-        batch.partials[record.item_number] = PartialPlace(record.content_offset, record.events)
+        batch.partials[record.item_number] = PartialLocation(record.content_offset, record.events)
--- a/libs/batches/oleander_batches/content.py
+++ b/libs/batches/oleander_batches/content.py
@@ -11,18 +11,18 @@
 from oleander_platform import recordlog
 
 CONTENT_TOPIC = "oleander.content"
-APPEND_SECONDS = 1.0
+APPEND_TIMEOUT_SECONDS = 1.0
 """After this another append is tried."""
-_RECORD_BYTES = 128 * 1024
+_MAX_RECORD_BYTES = 128 * 1024
 """A submission is spread over records of this size, below what the log takes."""
-MOST_SUBMISSION_BYTES = 1536 * 1024
+MAX_SUBMISSION_BYTES = 1536 * 1024
 """All its records are appended in one call, which the log bounds."""
-_MOST_CACHED = 8
+_MAX_CACHED_SUBMISSIONS = 8
 """Submissions kept after they were read."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class NotDone:
+class JournalFailure:
     """A call that did not succeed."""
 
     detail: str
@@ -32,11 +32,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
+class SubmissionLocation:
     """Where a submission stands."""
 
     first_offset: int
-    records: int
+    record_count: int
 
 
 class BatchContent:
@@ -60,67 +60,69 @@
 
     def append_submission(
         self, accepted: submission.Submission, deadline: clock.Deadline
-    ) -> expression.Result[Place, NotDone]:
+    ) -> expression.Result[SubmissionLocation, JournalFailure]:
         """Keep a submission, in as many records as it takes."""
         content = submission.encode_submission(accepted)
-        if len(content) > MOST_SUBMISSION_BYTES:
-            return expression.Error(NotDone("the submission is too large", False, True))
+        if len(content) > MAX_SUBMISSION_BYTES:
+            return expression.Error(JournalFailure("the submission is too large", False, True))
         parts = [
-            content[start : start + _RECORD_BYTES]
-            for start in range(0, len(content), _RECORD_BYTES)
+            content[start : start + _MAX_RECORD_BYTES]
+            for start in range(0, len(content), _MAX_RECORD_BYTES)
         ]
         partition = self.find_partition(accepted.batch_id)
         kept = self._log.append(CONTENT_TOPIC, partition, parts, deadline)
         if kept.is_error():
-            return expression.Error(NotDone(kept.error.detail, False))
-        return expression.Ok(Place(kept.ok.first_offset, len(parts)))
+            return expression.Error(JournalFailure(kept.error.detail, False))
+        return expression.Ok(SubmissionLocation(kept.ok.first_offset, len(parts)))
 
-    def append(self, batch_id: str, contents: list[bytes]) -> expression.Result[int, NotDone]:
+    def append(
+        self, batch_id: str, contents: list[bytes]
+    ) -> expression.Result[int, JournalFailure]:
         """
         Keep records of a batch; return the offset of the first.
 
         Without an index record that points there they mean nothing: an error has had no effect.
         """
         partition = self.find_partition(batch_id)
-        deadline = clock.start_deadline(APPEND_SECONDS)
+        deadline = clock.start_deadline(APPEND_TIMEOUT_SECONDS)
         appended = self._log.append(CONTENT_TOPIC, partition, contents, deadline)
         if appended.is_error():
-            return expression.Error(NotDone(appended.error.detail, False))
+            return expression.Error(JournalFailure(appended.error.detail, False))
         return expression.Ok(appended.ok.first_offset)
 
     def read(
         self, batch_id: str, offset: int, deadline: clock.Deadline
-    ) -> expression.Result[dict[int, bytes], NotDone]:
+    ) -> expression.Result[dict[int, bytes], JournalFailure]:
         """Return records from an offset on, by their offsets; as many as one read brings."""
         partition = self.find_partition(batch_id)
         page = self._log.read(CONTENT_TOPIC, partition, offset, 0, deadline)
         if page.is_error():
-            return expression.Error(NotDone(page.error.detail, False))
+            return expression.Error(JournalFailure(page.error.detail, False))
         return expression.Ok({item.offset: item.content for item in page.ok.records})
 
     def read_submission(
         self, accepted: records.Accepted, deadline: clock.Deadline
-    ) -> expression.Result[submission.Submission, NotDone]:
+    ) -> expression.Result[submission.Submission, JournalFailure]:
         """Return what a trainer handed in."""
         with self._lock:
             cached = self._cached.get(accepted.batch_id)
         if cached is not None:
             return expression.Ok(cached)
-        parts = self._read_parts(accepted, deadline)
+        parts = self._read_submission_bytes(accepted, deadline)
         if parts.is_error():
             return expression.Error(parts.error)
         decoded = submission.decode_submission(parts.ok)
         if decoded.is_error():
-            return expression.Error(NotDone(str(decoded.error), False))
+            return expression.Error(JournalFailure(str(decoded.error), False))
         with self._lock:
             self._cached[accepted.batch_id] = decoded.ok
-            while len(self._cached) > _MOST_CACHED:
+            while len(self._cached) > _MAX_CACHED_SUBMISSIONS:
                 self._cached.popitem(last=False)
         return expression.Ok(decoded.ok)
 
-    def _read_parts(
+    def _read_submission_bytes(
         self, accepted: records.Accepted, deadline: clock.Deadline
-    ) -> expression.Result[bytes, NotDone]:
+    ) -> expression.Result[bytes, JournalFailure]:
         """Return a submission's bytes, which may take several reads."""
         offset = accepted.content_offset
         end = offset + accepted.content_records
@@ -130,7 +132,7 @@
             if read.is_error():
                 return expression.Error(read.error)
             if offset not in read.ok:
-                return expression.Error(NotDone("a submission is not kept any more", False))
+                return expression.Error(JournalFailure("a submission is not kept any more", False))
             while offset < end and offset in read.ok:
                 content += read.ok[offset]
                 offset += 1
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -6,17 +6,17 @@
 import expression
 
 from oleander_base import clock, identifiers, log, tasks
-from oleander_batches import content, fold, index_reader, records, submission
+from oleander_batches import batch_table, content, index_reader, records, submission
 from oleander_platform import recordlog
 
-_AGAIN_SECONDS = 0.2
+_RETRY_SECONDS = 0.2
 """Between tries while the log does not answer."""
-_MOST_ACCEPTED = 256
+_MAX_ACCEPTED_HERE = 256
 """Batches remembered as accepted by this process; it matters for seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Listing:
+class ResultPage:
     """The results from a position on."""
 
     total: int
@@ -44,7 +44,7 @@
         self._partitions = partitions
         self._content = content.BatchContent(log_service, partitions)
         self._index = index_reader.IndexReader(log_service, group, keep_seconds)
-        self._accepted_here: collections.deque[str] = collections.deque(maxlen=_MOST_ACCEPTED)
+        self._accepted_here: collections.deque[str] = collections.deque(maxlen=_MAX_ACCEPTED_HERE)
 
     @property
     def index(self) -> index_reader.IndexReader:
@@ -55,7 +55,7 @@
         """Tell whether this process accepted a batch, in the last seconds at least."""
         return batch_id in self._accepted_here
 
-    def find_runner_partition(self, batch: fold.Batch) -> int:
+    def find_runner_partition(self, batch: batch_table.Batch) -> int:
         """
         Return the partition whose owner runs a batch: the same for all batches of a model.
 
@@ -69,7 +69,7 @@
 
     def accept(
         self, accepted: submission.Submission, deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """
         Keep a submission; an error that may have had effect must not be called a refusal.
 
@@ -87,7 +87,7 @@
             accepted.step,
             accepted.oldest_version,
             kept.ok.first_offset,
-            kept.ok.records,
+            kept.ok.record_count,
             len(accepted.items),
             accepted.organisation,
         )
@@ -96,16 +96,16 @@
 
     def end(
         self, batch_id: str, deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """Record that a trainer wants no more of a batch."""
         ended = self._append_index([records.Ended(batch_id)], deadline)
         if ended.is_ok():
-            self._index.apply_own(records.Ended(batch_id))
+            self._index.apply_appended(records.Ended(batch_id))
         return ended
 
-    def finish(
+    def append_results(
         self, batch_id: str, results: list[tuple[int, submission.ItemResult]]
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """Keep results, by the numbers of their items; safe to repeat after any failure."""
         contents = [submission.encode_result(result) for _, result in results]
         appended = self._content.append(batch_id, contents)
@@ -115,11 +115,11 @@
             records.Finished(batch_id, number, appended.ok + place)
             for place, (number, _) in enumerate(results)
         ]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
-    def keep_partials(
+    def append_partials(
         self, batch_id: str, partials: list[submission.PartialText]
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """Keep the starts of texts, so that another process can go on from them."""
         contents = [submission.encode_partial(partial) for partial in partials]
         appended = self._content.append(batch_id, contents)
@@ -129,22 +129,22 @@
             records.Partial(batch_id, item.item_number, appended.ok + place, item.events)
             for place, item in enumerate(partials)
         ]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
-    def note_runner(
+    def record_runner(
         self, batch_ids: list[str], runner: str
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """Tell all processes who runs batches; nobody, where the name is empty."""
         index: list[records.IndexRecord] = [records.Taken(name, runner) for name in batch_ids]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
     def read_results(
-        self, batch: fold.Batch, after: int, deadline: clock.Deadline
-    ) -> expression.Result[Listing, content.NotDone]:
+        self, batch: batch_table.Batch, after: int, deadline: clock.Deadline
+    ) -> expression.Result[ResultPage, content.JournalFailure]:
         """Return results from a position on: at least one where there is one."""
-        places = self._index.list_places(batch, after)
+        places = self._index.list_result_locations(batch, after)
         if not places:
-            return expression.Ok(Listing(batch.total, ()))
+            return expression.Ok(ResultPage(batch.total, ()))
         first = places[0].content_offset
         contents = self._content.read(batch.batch_id, first, deadline)
         if contents.is_error():
@@ -156,16 +156,16 @@
                 break
             decoded = submission.decode_result(found)
             if decoded.is_error():
-                return expression.Error(content.NotDone(str(decoded.error), False))
+                return expression.Error(content.JournalFailure(str(decoded.error), False))
             results.append(decoded.ok)
         if not results:
             return expression.Error(
-                content.NotDone("a result's content is not kept any more", False)
+                content.JournalFailure("a result's content is not kept any more", False)
             )
-        return expression.Ok(Listing(batch.total, tuple(results)))
+        return expression.Ok(ResultPage(batch.total, tuple(results)))
 
     def read_partials(
-        self, batch: fold.Batch, deadline: clock.Deadline
+        self, batch: batch_table.Batch, deadline: clock.Deadline
     ) -> list[submission.PartialText]:
         """
         Return the starts of a batch's texts, as many as can be read in time.
@@ -191,25 +191,27 @@
         return partials
 
     def read_submission(
-        self, batch: fold.Batch, deadline: clock.Deadline
-    ) -> expression.Result[submission.Submission, content.NotDone]:
+        self, batch: batch_table.Batch, deadline: clock.Deadline
+    ) -> expression.Result[submission.Submission, content.JournalFailure]:
         """Return what a trainer handed in."""
         return self._content.read_submission(batch.accepted, deadline)
 
     def _append_index(
         self, items: list[records.IndexRecord], deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """Append until an answer comes or time is up; a record that stands twice does no harm."""
         contents = [records.encode_record(item) for item in items]
         may_have_effect = False
         while True:
-            attempt = deadline.earlier(content.APPEND_SECONDS)
+            attempt = deadline.earlier(content.APPEND_TIMEOUT_SECONDS)
             appended = self._log.append(
                 index_reader.TOPIC, index_reader.PARTITION, contents, attempt
             )
             if appended.is_ok():
                 return expression.Ok(None)
             may_have_effect = may_have_effect or appended.error.may_have_effect
-            if not may_have_effect or deadline.remaining < _AGAIN_SECONDS:
-                return expression.Error(content.NotDone(appended.error.detail, may_have_effect))
-            self._group.pause(_AGAIN_SECONDS / 2)
+            if not may_have_effect or deadline.remaining < _RETRY_SECONDS:
+                return expression.Error(
+                    content.JournalFailure(appended.error.detail, may_have_effect)
+                )
+            self._group.pause(_RETRY_SECONDS / 2)
--- a/libs/batches/oleander_batches/submission.py
+++ b/libs/batches/oleander_batches/submission.py
@@ -94,7 +94,7 @@
 
 def encode_submission(submission: Submission) -> bytes:
     """Return a submission as one record."""
-    items = [_flatten_item(item) for item in submission.items]
+    items = [_encode_item(item) for item in submission.items]
     return cbor2.dumps(
         [
             submission.batch_id,
@@ -161,7 +161,7 @@
     )
 
 
-def _flatten_item(item: Item) -> list[typing.Any]:
+def _encode_item(item: Item) -> list[typing.Any]:
     scoring = item.scoring
     flat = scoring and [scoring.request_id, scoring.host, scoring.path, scoring.body]
     return [
--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -7,7 +7,7 @@
 import expression
 
 from oleander_base import clock, log, metrics
-from oleander_batches import content, fold, journal, submission
+from oleander_batches import batch_table, content, journal, submission
 
 _READ_SECONDS = 1.0
 """Trainers wait a little longer than they allow, so that an answer at the end still counts."""
@@ -61,7 +61,7 @@
             if not _may_use(known, submitted.organisation):
                 return _reject(BatchFault.MISSING, "the batch is not of this organisation")
             return expression.Ok(None)
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return self._refuse_cut(submitted.batch_id, "submission")
         accepted = self._journal.accept(submitted, deadline.earlier(_ACCEPT_SECONDS))
         if accepted.is_ok():
@@ -83,17 +83,19 @@
 
     def list_results(
         self, batch_id: str, organisation: str, after: int, wait: clock.Deadline
-    ) -> expression.Result[journal.Listing, BatchProblem]:
+    ) -> expression.Result[journal.ResultPage, BatchProblem]:
         """Return results from a position on, waiting for the first of them."""
         found = self._find(batch_id, organisation)
         if found.is_error():
             return expression.Error(found.error)
         batch = found.ok
-        if len(batch.listed) <= after:
-            self._journal.index.wait_longer(batch, after, wait)
-        if len(batch.listed) <= after and not self._refresh(clock.read_now() - _FRESH_SECONDS):
+        if len(batch.result_locations) <= after:
+            self._journal.index.wait_for_results(batch, after, wait)
+        if len(batch.result_locations) <= after and not self._refresh(
+            clock.read_now() - _FRESH_SECONDS
+        ):
             return _reject(BatchFault.UNSURE, "the index can't be read")
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return _reject(BatchFault.UNSURE, "the log does not answer here")
         listing = self._journal.read_results(batch, after, clock.start_deadline(_READ_SECONDS))
         if listing.is_error():
@@ -123,13 +125,13 @@
             return expression.Error(found.error)
         if found.ok.is_ended:
             return expression.Ok(None)
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return self._refuse_cut(batch_id, "end")
         ended = self._journal.end(batch_id, clock.start_deadline(_END_SECONDS))
         log.logger.bind(
             event="batch-ended",
             batch=batch_id,
-            listed=len(found.ok.listed),
+            listed=len(found.ok.result_locations),
             total=found.ok.total,
             error=ended.error.detail if ended.is_error() else "",
         ).info("ended" if ended.is_ok() else "not ended")
@@ -137,7 +139,7 @@
 
     def _find(
         self, batch_id: str, organisation: str
-    ) -> expression.Result[fold.Batch, BatchProblem]:
+    ) -> expression.Result[batch_table.Batch, BatchProblem]:
         """
         Return a batch; one that is not known is looked for in the index as of now.
 
@@ -161,16 +163,16 @@
         return _reject(BatchFault.REFUSED, "the log does not answer here")
 
     def _refresh(self, since: float) -> bool:
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return False
         return self._journal.index.refresh(since, clock.start_deadline(_READ_SECONDS))
 
 
-def _may_use(batch: fold.Batch, organisation: str) -> bool:
+def _may_use(batch: batch_table.Batch, organisation: str) -> bool:
     return batch.accepted.organisation in {"", organisation}
 
 
-def _describe(error: content.NotDone) -> BatchProblem:
+def _describe(error: content.JournalFailure) -> BatchProblem:
     if error.is_final:
         return BatchProblem(BatchFault.IMPOSSIBLE, error.detail)
     fault = BatchFault.UNKNOWN if error.may_have_effect else BatchFault.REFUSED
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -5,7 +5,7 @@
 import threading
 
 from oleander_base import clock, identifiers
-from oleander_batches import fold, submission
+from oleander_batches import batch_table, submission
 from oleander_direct import servers
 from oleander_routing import router
 from oleander_samples import hedging, scheduler, steps, work
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        batch: fold.Batch,
+        batch: batch_table.Batch,
         submitted: submission.Submission,
         event_tokens: int,
     ) -> None:
@@ -88,7 +88,7 @@
         self._known_finished: set[int] = set()
 
     @property
-    def batch(self) -> fold.Batch:
+    def batch(self) -> batch_table.Batch:
         """The batch as the index tells of it."""
         return self._batch
 
@@ -100,7 +100,7 @@
     @property
     def age_seconds(self) -> float:
         """How long ago this process read of the batch."""
-        return clock.read_now() - self._batch.seen_at
+        return clock.read_now() - self._batch.first_read_at
 
     @property
     def is_given_up(self) -> bool:
@@ -126,7 +126,7 @@
     def note_listed(self) -> None:
         """Take in which items have results, whoever made them."""
         with self._lock:
-            for number in list(self._batch.finished - self._known_finished):
+            for number in list(self._batch.finished_items - self._known_finished):
                 self._known_finished.add(number)
                 self._cancelled.update(self._scheduler.stop_sample(number))
 
@@ -137,7 +137,7 @@
         return [
             (number, submission.ItemResult(item.item_id, lost, "", (), ""))
             for number, item in enumerate(self._submitted.items)
-            if number not in self._batch.finished and number not in self._results
+            if number not in self._batch.finished_items and number not in self._results
         ]
 
     def resume_item(self, partial: submission.PartialText) -> None:
@@ -184,7 +184,7 @@
         for number, item in enumerate(self._submitted.items):
             submitted = self._submitted
             known = texts.find(submitted.organisation, item.item_id, submitted.model)
-            if known is None or number in self._batch.finished:
+            if known is None or number in self._batch.finished_items:
                 continue
             if known.start is not None:
                 self.resume_item(dataclasses.replace(known.start, item_number=number))
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -3,7 +3,7 @@
 import threading
 
 from oleander_base import clock, log, metrics, tasks
-from oleander_batches import fold, journal
+from oleander_batches import batch_table, journal
 from oleander_direct import crash_guard, directory, routes, servers
 from oleander_routing import router
 from oleanderdeal import (
@@ -81,7 +81,7 @@
             self._give_up_overdue()
             while self._start_one():
                 pass
-            self._journal.index.wait_change(_IDLE_SECONDS)
+            self._journal.index.wait_for_change(_IDLE_SECONDS)
 
     def drain(self) -> None:
         """
@@ -113,7 +113,7 @@
             self._has_taken.wait(_KEEP_SECONDS)
             self._has_taken.clear()
 
-    def _list_running(self) -> list[fold.Batch]:
+    def _list_running(self) -> list[batch_table.Batch]:
         return [run.batch for run in list(self._runs.values()) if run.batch.is_open]
 
     def _update_runs(self) -> None:
@@ -155,11 +155,11 @@
                 event="batch-given-up", batch=run.batch.batch_id, items=len(lost)
             ).warning("its time is over")
 
-    def _find_route(self, batch: fold.Batch) -> routes.Route | None:
+    def _find_route(self, batch: batch_table.Batch) -> routes.Route | None:
         table = self._directory.table
         return table.match(batch.accepted.host, batch.accepted.path) if table else None
 
-    def _load(self, batch: fold.Batch) -> None:
+    def _load(self, batch: batch_table.Batch) -> None:
         table = self._directory.table
         route = self._find_route(batch)
         if table is None or route is None:
@@ -185,12 +185,12 @@
             batch=batch.batch_id,
             step=submitted.ok.step,
             items=batch.total,
-            finished=len(batch.finished),
+            finished=len(batch.finished_items),
             resumed=resumed,
             reused=len(reused),
         ).info("running its items")
 
-    def _load_partials(self, batch: fold.Batch, run: batch_run.BatchRun) -> int:
+    def _load_partials(self, batch: batch_table.Batch, run: batch_run.BatchRun) -> int:
         """Read the starts of texts; one that can't be read is made anew."""
         if not batch.partials:
             return 0
--- a/programs/oleanderdeal/oleanderdeal/batch_tenures.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_tenures.py
@@ -1,7 +1,7 @@
 """Decides which batches this process runs, and tells the others."""
 
 from oleander_base import clock, log
-from oleander_batches import fold, journal
+from oleander_batches import batch_table, journal
 from oleanderdeal import ownership
 
 _SILENT_SECONDS = 1.6
@@ -38,24 +38,24 @@
         """Whom the index named as the runner of a batch when this process took it."""
         self._listens_since: dict[str, float] = {}
 
-    def may_take(self, batch: fold.Batch) -> bool:
+    def may_take(self, batch: batch_table.Batch) -> bool:
         """Tell whether this process should run a batch that it does not run."""
         if not self._owned.owns(self._journal.find_runner_partition(batch)):
             return self._is_orphan(batch)
         if batch.runner in ("", self._name):
             return True
         now = clock.read_now()
-        if batch.heard_at:
-            return now >= batch.heard_at + _SILENT_SECONDS
+        if batch.runner_heard_at:
+            return now >= batch.runner_heard_at + _SILENT_SECONDS
         return now >= self._listens_since.setdefault(batch.batch_id, now) + _LISTEN_SECONDS
 
-    def must_stop(self, batch: fold.Batch) -> bool:
+    def must_stop(self, batch: batch_table.Batch) -> bool:
         """Tell whether a batch that this process runs is another's now."""
         if not self._owned.is_believed:
             return True
         return batch.runner not in (self._name, self._taken_from.get(batch.batch_id, ""))
 
-    def note_taken(self, batch: fold.Batch) -> None:
+    def note_taken(self, batch: batch_table.Batch) -> None:
         """Remember that this process runs a batch from now on."""
         self._listens_since.clear()
         if not self._owned.owns(self._journal.find_runner_partition(batch)):
@@ -68,7 +68,7 @@
         """Forget a batch that this process runs no more."""
         self._taken_from.pop(batch_id, None)
 
-    def announce(self, batches: list[fold.Batch]) -> None:
+    def announce(self, batches: list[batch_table.Batch]) -> None:
         """
         Say of these batches that this process runs them, where others could doubt it.
 
@@ -80,11 +80,11 @@
         if doubtful:
             self._say(doubtful, self._name)
 
-    def release(self, batches: list[fold.Batch]) -> bool:
+    def release(self, batches: list[batch_table.Batch]) -> bool:
         """Hand these batches to whoever their partitions are dealt to; return success."""
         return not batches or self._say([batch.batch_id for batch in batches], "")
 
-    def _is_orphan(self, batch: fold.Batch) -> bool:
+    def _is_orphan(self, batch: batch_table.Batch) -> bool:
         """
         Tell whether this process accepted a batch that nobody runs, as of a moment ago.
 
@@ -97,15 +97,15 @@
             return False
         if not self._journal.was_accepted_here(batch.batch_id):
             return False
-        orphan_at = max(batch.seen_at, batch.heard_at) + _ORPHAN_SECONDS
-        return self._journal.index.complete_at >= orphan_at
+        orphan_at = max(batch.first_read_at, batch.runner_heard_at) + _ORPHAN_SECONDS
+        return self._journal.index.complete_as_of >= orphan_at
 
-    def _is_doubtful(self, batch: fold.Batch) -> bool:
-        was_heard = clock.read_now() < batch.heard_at + _HEARD_SECONDS
+    def _is_doubtful(self, batch: batch_table.Batch) -> bool:
+        was_heard = clock.read_now() < batch.runner_heard_at + _HEARD_SECONDS
         return batch.runner != self._name or not was_heard
 
     def _say(self, batch_ids: list[str], runner: str) -> bool:
-        said = self._journal.note_runner(batch_ids, runner)
+        said = self._journal.record_runner(batch_ids, runner)
         log.logger.bind(
             event="batch-tenure",
             batches=batch_ids,
--- a/programs/oleanderdeal/oleanderdeal/checkpoints.py
+++ b/programs/oleanderdeal/oleanderdeal/checkpoints.py
@@ -24,7 +24,7 @@
         partials = run.list_grown(least_events) if run.batch.is_open else []
         if not partials:
             return True
-        kept = self._journal.keep_partials(run.batch.batch_id, partials)
+        kept = self._journal.append_partials(run.batch.batch_id, partials)
         if kept.is_ok():
             run.note_kept(partials)
         log.logger.bind(
--- a/programs/oleanderdeal/oleanderdeal/result_writer.py
+++ b/programs/oleanderdeal/oleanderdeal/result_writer.py
@@ -74,10 +74,10 @@
             log.warn_bounded("results-dropped", "the batch is forgotten", batch=batch_id)
             return True
         numbered = [(number, result) for _, number, result in taken]
-        fresh = [item for item in numbered if item[0] not in batch.finished]
+        fresh = [item for item in numbered if item[0] not in batch.finished_items]
         if not fresh:
             return True
-        written = self._journal.finish(batch_id, fresh)
+        written = self._journal.append_results(batch_id, fresh)
         if written.is_error():
             log.warn_bounded("results-unwritten", written.error.detail, batch=batch_id)
             return False
