--- a/libs/batches/oleander_batches/__init__.py
+++ b/libs/batches/oleander_batches/__init__.py
@@ -1,4 +1,4 @@
-"""Batches of samples that the platform's log keeps: accepted, run, listed, ended."""
+"""Batches of items to generate, stored in the platform's log from acceptance to results."""
 
 from oleander_batches import batch_table, content, index_reader, journal, records, submission
 
--- a/libs/batches/oleander_batches/batch_table.py
+++ b/libs/batches/oleander_batches/batch_table.py
@@ -1,4 +1,4 @@
-"""What the index says of each batch, the same in every process that has read as far."""
+"""The state of each batch, derived from the index; equal in all processes at the same offset."""
 
 import dataclasses
 
@@ -6,12 +6,13 @@
 from oleander_batches import records
 
 MAX_BATCHES = 4096
-"""Past this the batch that was accepted first is forgotten and reads as unknown."""
+"""Maximum number of batches. Beyond it the batch that was accepted first is evicted and becomes
+unknown."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ResultLocation:
-    """Which item a position of the listing holds, and where its result stands."""
+    """The item at one position of a batch's results, and the content offset of its result."""
 
     item_number: int
     content_offset: int
@@ -19,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PartialLocation:
-    """Where the start of a text stands."""
+    """The content offset of a partial text, and its number of stream events."""
 
     content_offset: int
     events: int
@@ -27,72 +28,81 @@
 
 @dataclasses.dataclass(slots=True)
 class Batch:
-    """One accepted batch."""
+    """The state of one accepted batch."""
 
     accepted: records.Accepted
     first_read_at: float
-    """When this process read of it. No host's time of day decides how old a batch is: one that
-    is an hour fast would give up items that have hardly begun."""
+    """When this process read of the batch, on its monotonic clock. A batch's age is never computed
+    from the time of day of a host: with a clock one hour fast, items that have just been started
+    would be given up."""
     is_ended: bool = False
     result_locations: list[ResultLocation] = dataclasses.field(default_factory=list)
-    """The results in their order in the index, which no process can change."""
+    """The results in the order of the index, which is equal in all processes and never changes."""
     finished_items: set[int] = dataclasses.field(default_factory=set)
+    """The numbers of the items that have a result."""
     partials: dict[int, PartialLocation] = dataclasses.field(default_factory=dict)
+    """The longest partial text of each unfinished item, by item number."""
     runner: str = ""
-    """Who said last that it runs the items; empty before that and after a hand-over."""
+    """The process that last recorded that it runs the items; empty before that and after a
+    hand-over."""
     runner_heard_at: float = 0.0
-    """When a runner's last record was read as it came; 0 where all are from before this process
-    began to read, for nobody may be left who wrote them."""
+    """When a runner's last record about the batch was read. It is 0 if all records were appended
+    before this process started to read, because the process that wrote them may be gone."""
 
     @property
     def batch_id(self) -> str:
-        """The trainer's name of it."""
+        """The ID that the trainer chose for the batch."""
         return self.accepted.batch_id
 
     @property
     def total(self) -> int:
-        """How many items it has."""
+        """The number of items."""
         return self.accepted.total
 
     @property
     def allowed_lag(self) -> int | None:
         """
-        How many versions behind its step its weights may be, or nothing where it does not tell.
+        The number of versions by which its weights may lag behind its step; None if unknown.
 
-        A step is asked for once the version of its number is named; the first weights have number
-        1, so the first two steps say nothing.
+        A trainer submits a step once the weight version of the same number is announced. Versions
+        start at 1, so the lag can't be derived from the steps 0 and 1.
         """
         accepted = self.accepted
         return accepted.step - accepted.oldest_version if accepted.step > 1 else None
 
     @property
     def is_open(self) -> bool:
-        """Whether items of it may still be run."""
+        """Whether the batch is not ended and has items without a result."""
         return not self.is_ended and len(self.finished_items) < self.total
 
 
 class BatchTable:
     """
-    The batches that the index tells of; not thread-safe.
+    The batches that the index describes; not thread-safe.
 
-    For an item and for a batch the first record wins, and what is listed only grows. So two
-    processes that run the same item, or an append that takes effect twice or late, cost work and
-    never change what a trainer reads.
+    Only the first `Accepted` record of a batch and the first `Finished` record of an item count,
+    and results are only ever added. Two processes that run the same item, or an append that takes
+    effect twice or late, therefore waste work but never change the results that a trainer reads.
     """
 
     def __init__(self) -> None:
         self._batches: dict[str, Batch] = {}
 
     def find(self, batch_id: str) -> Batch | None:
-        """Return a batch."""
+        """Return a batch, or None if it is unknown or was evicted."""
         return self._batches.get(batch_id)
 
     def list_batches(self) -> list[Batch]:
-        """Return all batches, in the order of acceptance."""
+        """Return all batches in the order of their acceptance."""
         return list(self._batches.values())
 
     def apply(self, record: records.IndexRecord, was_appended_later: bool = True) -> None:
-        """Take in the next record; not `was_appended_later` for those found at a start."""
+        """
+        Apply the next record of the index; records of unknown batches are ignored.
+
+        `was_appended_later` is False for records that were in the index before the process read
+        it to its end for the first time.
+        """
         if isinstance(record, records.Accepted):
             self._accept(record)
             return
@@ -112,7 +122,7 @@
             batch.partials.clear()
 
     def evict_older(self, seconds: float) -> None:
-        """Forget the batches that were read of so long ago."""
+        """Evict batches that are not open and were first read more than `seconds` ago."""
         horizon = clock.read_now() - seconds
         for batch_id, batch in list(self._batches.items()):
             if batch.first_read_at < horizon and not batch.is_open:
--- a/libs/batches/oleander_batches/content.py
+++ b/libs/batches/oleander_batches/content.py
@@ -1,4 +1,4 @@
-"""What batches consist of, in the log's content: submissions, results, starts of texts."""
+"""The content topic of the log, which stores submissions, results and partial texts."""
 
 import collections
 import dataclasses
@@ -12,28 +12,30 @@
 
 CONTENT_TOPIC = "oleander.content"
 APPEND_TIMEOUT_SECONDS = 1.0
-"""After this another append is tried."""
+"""The timeout of one append, after which it may be tried again."""
 _MAX_RECORD_BYTES = 128 * 1024
-"""A submission is spread over records of this size, below what the log takes."""
+"""A submission is split into records of this size, which is below the log's limit for a record."""
 MAX_SUBMISSION_BYTES = 1536 * 1024
-"""All its records are appended in one call, which the log bounds."""
+"""Maximum size of a submission. All its records are appended in one call, whose size the log
+limits."""
 _MAX_CACHED_SUBMISSIONS = 8
-"""Submissions kept after they were read."""
+"""Maximum number of decoded submissions in the cache."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class JournalFailure:
-    """A call that did not succeed."""
+    """Why an append to the log or a read from it failed."""
 
     detail: str
     may_have_effect: bool
+    """Whether the records may have been appended all the same, or may be later."""
     is_final: bool = False
-    """Whether it can't succeed at another time either."""
+    """Whether a retry can't succeed."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SubmissionLocation:
-    """Where a submission stands."""
+    """The consecutive records of the content that hold a submission."""
 
     first_offset: int
     record_count: int
@@ -41,9 +43,10 @@
 
 class BatchContent:
     """
-    Appends to and reads from the partitions that batches' content is spread over; thread-safe.
+    Appends and reads the content of batches, which is spread over partitions; thread-safe.
 
-    Read only by whoever needs a batch. The submissions read last are kept.
+    Unlike the index, content is read only by the processes that need a batch. The most recently
+    read submissions are cached.
     """
 
     def __init__(self, log_service: recordlog.RecordLog, partitions: int) -> None:
@@ -55,13 +58,13 @@
         )
 
     def find_partition(self, batch_id: str) -> int:
-        """Return the partition of a batch's content."""
+        """Return the number of the partition that holds a batch's content."""
         return identifiers.hash_text(batch_id) % self._partitions
 
     def append_submission(
         self, accepted: submission.Submission, deadline: clock.Deadline
     ) -> expression.Result[SubmissionLocation, JournalFailure]:
-        """Keep a submission, in as many records as it takes."""
+        """Append a submission, split into records, and return its location."""
         content = submission.encode_submission(accepted)
         if len(content) > MAX_SUBMISSION_BYTES:
             return expression.Error(JournalFailure("the submission is too large", False, True))
@@ -79,9 +82,10 @@
         self, batch_id: str, contents: list[bytes]
     ) -> expression.Result[int, JournalFailure]:
         """
-        Keep records of a batch; return the offset of the first.
+        Append records of a batch and return the offset of the first.
 
-        Without an index record that points there they mean nothing: an error has had no effect.
+        Content has no effect without an index record that refers to it. A failure is therefore
+        never reported as one that may have had an effect.
         """
         partition = self.find_partition(batch_id)
         deadline = clock.start_deadline(APPEND_TIMEOUT_SECONDS)
@@ -93,7 +97,7 @@
     def read(
         self, batch_id: str, offset: int, deadline: clock.Deadline
     ) -> expression.Result[dict[int, bytes], JournalFailure]:
-        """Return records from an offset on, by their offsets; as many as one read brings."""
+        """Return the records from an offset on, by offset, as many as one read returns."""
         partition = self.find_partition(batch_id)
         page = self._log.read(CONTENT_TOPIC, partition, offset, 0, deadline)
         if page.is_error():
@@ -103,7 +107,7 @@
     def read_submission(
         self, accepted: records.Accepted, deadline: clock.Deadline
     ) -> expression.Result[submission.Submission, JournalFailure]:
-        """Return what a trainer handed in."""
+        """Return the submission of a batch, from the cache if it was read lately."""
         with self._lock:
             cached = self._cached.get(accepted.batch_id)
         if cached is not None:
@@ -123,7 +127,7 @@
     def _read_submission_bytes(
         self, accepted: records.Accepted, deadline: clock.Deadline
     ) -> expression.Result[bytes, JournalFailure]:
-        """Return a submission's bytes, which may take several reads."""
+        """Return the encoded submission of a batch, reading the log as often as needed."""
         offset = accepted.content_offset
         end = offset + accepted.content_records
         content = b""
@@ -132,7 +136,9 @@
             if read.is_error():
                 return expression.Error(read.error)
             if offset not in read.ok:
-                return expression.Error(JournalFailure("a submission is not kept any more", False))
+                return expression.Error(
+                    JournalFailure("the submission is no longer in the log", False)
+                )
             while offset < end and offset in read.ok:
                 content += read.ok[offset]
                 offset += 1
--- a/libs/batches/oleander_batches/index_reader.py
+++ b/libs/batches/oleander_batches/index_reader.py
@@ -1,4 +1,4 @@
-"""What is known of batches: the index in the platform's log, read as it grows."""
+"""Follows the batch index in the platform's log and lets callers wait for its changes."""
 
 import threading
 
@@ -8,26 +8,28 @@
 
 TOPIC = "oleander.index"
 PARTITION = 0
-"""All of the index is one partition: its order is the order of the results in each batch."""
+"""The index has one partition, because its order defines the order of each batch's results."""
 _READ_TIMEOUT_SECONDS = 1.5
-"""Above the wait by the answer of a slow store."""
+"""The timeout of a read, which exceeds the long poll by the time a slow store takes to answer."""
 _LONG_POLL_MS = 1000
-"""Below the configuration's bound, so that a connection gone silent is noticed in time."""
+"""How long a read waits for new records. It is below the bound on the age of the configuration, so
+that a connection without answers is detected in time."""
 _PROBE_TIMEOUT_SECONDS = 0.6
-"""For a read while the log does not answer; it waits for no record, so that an entry which was cut
-off is soon of use again."""
+"""The timeout of a read while the log does not answer. Such a read does not wait for new records,
+so that an entry is soon usable once the log is back."""
 _IDLE_INTERVAL_SECONDS = 0.2
-"""Between reads of the index: results of the same moment come in one read."""
+"""The interval between reads while nobody waits; results of about the same time come in one
+read."""
 _ACTIVE_INTERVAL_SECONDS = 0.02
-"""The same while a caller or a run of this process waits for the next records."""
+"""The interval between reads while a caller or a batch of this process waits for new records."""
 _RETRY_SECONDS = 0.2
-"""Between tries while the log does not answer."""
+"""The pause before the next read after one that failed."""
 _EVICTION_INTERVAL_SECONDS = 5.0
-"""Between evictions of batches that are no longer kept."""
+"""The interval between evictions of expired batches."""
 
 
 class IndexReader:
-    """Folds the index, and wakes who waits for it; safe to use from several threads."""
+    """Applies the index to a table of batches and wakes the threads that wait; thread-safe."""
 
     def __init__(
         self, log_service: recordlog.RecordLog, group: tasks.TaskGroup, keep_seconds: float
@@ -48,26 +50,27 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the index was read to its end at least once."""
+        """Whether the index has been read to its end at least once."""
         return self._is_caught_up
 
     @property
     def is_unreachable(self) -> bool:
         """
-        Whether the last read of the index had no answer in its time.
+        Whether the last read of the index timed out.
 
-        What a trainer asks then is refused at once: it asks another entry, which may reach the
-        log. Held for the usual second or two, a submission began by as much later.
+        Trainers' requests are then refused at once, so that they try another entry, which may
+        reach the log. If the requests were held for the usual second or two, submissions would
+        start that much later.
         """
         return self._is_unreachable
 
     @property
     def complete_as_of(self) -> float:
-        """As of when everything that stood in the index is known."""
+        """The time as of which all records of the index have been applied."""
         return self._complete_as_of
 
     def follow(self) -> None:
-        """Read the index as it grows, until the group stops."""
+        """Read the index continuously until the task group stops."""
         evict_at = clock.read_now() + _EVICTION_INTERVAL_SECONDS
         while not self._group.is_stopping:
             wait_ms = _LONG_POLL_MS if self._is_caught_up and not self._is_unreachable else 0
@@ -82,7 +85,7 @@
             self._pause_while_idle()
 
     def expect_updates(self, is_expected: bool) -> None:
-        """Set whether batches run here, whose owner reads the index without a longer pause."""
+        """Set whether this process runs batches, in which case the index is read more often."""
         with self._demand_changed:
             self._expects_updates = is_expected
             self._demand_changed.notify_all()
@@ -93,10 +96,10 @@
 
     def _pause_while_idle(self) -> None:
         """
-        Pause until the next read of the index, or until somebody waits for it.
+        Pause until the next read of the index is due, or until a caller waits for records.
 
-        Few entries run batches or have a trainer waiting. They read on at once, or each step
-        would begin and end later for it; the others read a few times a second.
+        The few entries that run batches or have a trainer waiting read again at once, because the
+        pause would delay the start and the end of each step. The others read a few times a second.
         """
         deadline = clock.start_deadline(_IDLE_INTERVAL_SECONDS - _ACTIVE_INTERVAL_SECONDS)
         with self._demand_changed:
@@ -104,26 +107,30 @@
                 self._demand_changed.wait(deadline.remaining)
 
     def refresh(self, since: float, deadline: clock.Deadline) -> bool:
-        """Make sure that all that stood in the index at a moment is known; return success."""
+        """Read the index until it is applied as of `since`; return False if that fails in time."""
         while self._complete_as_of < since:
             if deadline.is_past or not self._read_page(0, deadline):
                 return False
         return True
 
     def find(self, batch_id: str) -> batch_table.Batch | None:
-        """Return a batch as known now; its fields go on changing."""
+        """Return a batch or None; the object is updated as the index is read."""
         with self._lock:
             return self._table.find(batch_id)
 
     def list_open(self) -> list[batch_table.Batch]:
-        """Return the batches with items that may be run, in the order of acceptance."""
+        """Return the open batches in the order of their acceptance."""
         with self._lock:
             return [batch for batch in self._table.list_batches() if batch.is_open]
 
     def wait_for_results(
         self, batch: batch_table.Batch, after: int, deadline: clock.Deadline
     ) -> bool:
-        """Wait until a batch has more results than so many, or can't be known to have them."""
+        """
+        Wait until a batch has more than `after` results; return whether it has.
+
+        The wait ends early if the batch is ended or if the log becomes unreachable.
+        """
         with self._changed:
             self._waiters += 1
             self._demand_changed.notify_all()
@@ -141,17 +148,17 @@
                 self._waiters -= 1
 
     def wait_for_change(self, seconds: float) -> None:
-        """Wait until the index has grown, until woken, or for so long."""
+        """Wait until the index changes or `wake` is called, but at most for `seconds`."""
         with self._changed:
             self._changed.wait(seconds)
 
     def wake(self) -> None:
-        """Wake the threads that wait for a change, as if the index had grown."""
+        """Wake all waiting threads, although the index has not changed."""
         with self._changed:
             self._changed.notify_all()
 
     def apply_appended(self, record: records.IndexRecord) -> None:
-        """Apply a record that this process has just appended, before it is read."""
+        """Apply a record that this process has just appended, before it is read back."""
         with self._changed:
             self._table.apply(record)
             self._changed.notify_all()
@@ -159,12 +166,12 @@
     def list_result_locations(
         self, batch: batch_table.Batch, after: int
     ) -> list[batch_table.ResultLocation]:
-        """Return where the results of a batch stand, from a position on."""
+        """Return the locations of a batch's results from position `after` on."""
         with self._lock:
             return batch.result_locations[after:]
 
     def list_partial_offsets(self, batch: batch_table.Batch) -> list[int]:
-        """Return where the starts of a batch's texts stand, in order."""
+        """Return the content offsets of a batch's partial texts, in ascending order."""
         with self._lock:
             return sorted(place.content_offset for place in batch.partials.values())
 
@@ -184,13 +191,18 @@
         return True
 
     def _record_failed_read(self, timed_out: bool) -> None:
-        """Record a failed read; a log that turned it away at once may be tried: nobody waits."""
+        """
+        Record a failed read of the index.
+
+        After a refusal the log still counts as reachable, because it answers at once and trying
+        again delays no caller.
+        """
         with self._changed:
             self._is_unreachable = timed_out
             self._changed.notify_all()
 
     def _apply_page(self, page: recordlog.RawPage, started_at: float) -> None:
-        """Apply what is new in a page; another thread may have applied a part of it."""
+        """Apply the new records of a page, part of which another thread may have applied."""
         for record in page.records:
             if record.offset < self._next_offset:
                 continue
@@ -201,7 +213,7 @@
                 log.warn_bounded("index-record", str(decoded.error), offset=record.offset)
             self._next_offset = record.offset + 1
         if not page.records and page.end_offset > self._next_offset:
-            log.warn_bounded("index-hollow", "a page without the records that its end names")
+            log.warn_bounded("index-hollow", "an empty page states an end beyond the next offset")
         self._next_offset = max(self._next_offset, page.next_offset)
         if self._next_offset >= page.end_offset:
             self._complete_as_of = max(self._complete_as_of, started_at)
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -1,4 +1,4 @@
-"""Batches in the platform's log: appended by any process, read by all."""
+"""Appends batches and their results to the platform's log, and reads them."""
 
 import collections
 import dataclasses
@@ -10,14 +10,15 @@
 from oleander_platform import recordlog
 
 _RETRY_SECONDS = 0.2
-"""Between tries while the log does not answer."""
+"""The least time left for another append to the index; the pause before it is half of this."""
 _MAX_ACCEPTED_HERE = 256
-"""Batches remembered as accepted by this process; it matters for seconds."""
+"""Maximum number of batches remembered as accepted by this process; the information is needed only
+for some seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ResultPage:
-    """The results from a position on."""
+    """Some of a batch's results, and the number of its items."""
 
     total: int
     results: tuple[submission.ItemResult, ...]
@@ -25,11 +26,11 @@
 
 class BatchJournal:
     """
-    The one place that writes batches and reads their texts; safe to use from several threads.
+    The interface through which all batch texts are written and read; thread-safe.
 
-    Texts stand in the content, some partitions by the batch's name; the index has a short record
-    for each that points there. Every process follows the index alone: following the texts too
-    would cost each process all of them, which grows with the square of the fleet.
+    Texts are stored in the content topic, partitioned by batch ID. The index has a short record
+    for each text that refers to it. Every process follows only the index: if every process also
+    read all texts, the load would grow with the square of the number of hosts.
     """
 
     def __init__(
@@ -48,19 +49,20 @@
 
     @property
     def index(self) -> index_reader.IndexReader:
-        """What is known of batches, and the waits for more."""
+        """The reader of the index, which holds the state of all batches."""
         return self._index
 
     def was_accepted_here(self, batch_id: str) -> bool:
-        """Tell whether this process accepted a batch, in the last seconds at least."""
+        """Return whether this process accepted a batch; only recent batches are remembered."""
         return batch_id in self._accepted_here
 
     def find_runner_partition(self, batch: batch_table.Batch) -> int:
         """
-        Return the partition whose owner runs a batch: the same for all batches of a model.
+        Return the partition whose owner runs a batch; it is the same for all batches of a model.
 
-        The runner knows what it has at each engine. With one for each batch, a trainer's steps in
-        a row filled the engines without knowing of each other, and each opened connections anew.
+        A runner knows only its own load on each engine. With a different runner for each batch,
+        the consecutive steps of a trainer overloaded the engines, and each runner opened its own
+        connections.
         """
         return (
             identifiers.hash_text(f"{batch.accepted.host}\n{batch.accepted.model}")
@@ -71,10 +73,11 @@
         self, accepted: submission.Submission, deadline: clock.Deadline
     ) -> expression.Result[None, content.JournalFailure]:
         """
-        Keep a submission; an error that may have had effect must not be called a refusal.
+        Append a submission to the content and to the index.
 
-        The content alone means nothing, so only the index record decides: where its append was
-        not answered it may appear later, and the batch will run.
+        Only the index record makes the batch run. If its append was not answered, the record may
+        still appear; the failure then has `may_have_effect` set and must not be reported as a
+        refusal.
         """
         kept = self._content.append_submission(accepted, deadline)
         if kept.is_error():
@@ -97,7 +100,7 @@
     def end(
         self, batch_id: str, deadline: clock.Deadline
     ) -> expression.Result[None, content.JournalFailure]:
-        """Record that a trainer wants no more of a batch."""
+        """End a batch, whose trainer needs no further results."""
         ended = self._append_index([records.Ended(batch_id)], deadline)
         if ended.is_ok():
             self._index.apply_appended(records.Ended(batch_id))
@@ -106,7 +109,7 @@
     def append_results(
         self, batch_id: str, results: list[tuple[int, submission.ItemResult]]
     ) -> expression.Result[None, content.JournalFailure]:
-        """Keep results, by the numbers of their items; safe to repeat after any failure."""
+        """Append results, each with its item number; safe to repeat after any failure."""
         contents = [submission.encode_result(result) for _, result in results]
         appended = self._content.append(batch_id, contents)
         if appended.is_error():
@@ -120,7 +123,7 @@
     def append_partials(
         self, batch_id: str, partials: list[submission.PartialText]
     ) -> expression.Result[None, content.JournalFailure]:
-        """Keep the starts of texts, so that another process can go on from them."""
+        """Append partial texts, from which another process can resume the items."""
         contents = [submission.encode_partial(partial) for partial in partials]
         appended = self._content.append(batch_id, contents)
         if appended.is_error():
@@ -134,14 +137,18 @@
     def record_runner(
         self, batch_ids: list[str], runner: str
     ) -> expression.Result[None, content.JournalFailure]:
-        """Tell all processes who runs batches; nobody, where the name is empty."""
+        """Record which process runs batches; an empty name hands them over."""
         index: list[records.IndexRecord] = [records.Taken(name, runner) for name in batch_ids]
         return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
     def read_results(
         self, batch: batch_table.Batch, after: int, deadline: clock.Deadline
     ) -> expression.Result[ResultPage, content.JournalFailure]:
-        """Return results from a position on: at least one where there is one."""
+        """
+        Return the results from position `after` on, as many as one read of the log returns.
+
+        The page is empty only if there is no result at that position.
+        """
         places = self._index.list_result_locations(batch, after)
         if not places:
             return expression.Ok(ResultPage(batch.total, ()))
@@ -160,7 +167,7 @@
             results.append(decoded.ok)
         if not results:
             return expression.Error(
-                content.JournalFailure("a result's content is not kept any more", False)
+                content.JournalFailure("the result's content is no longer in the log", False)
             )
         return expression.Ok(ResultPage(batch.total, tuple(results)))
 
@@ -168,10 +175,10 @@
         self, batch: batch_table.Batch, deadline: clock.Deadline
     ) -> list[submission.PartialText]:
         """
-        Return the starts of a batch's texts, as many as can be read in time.
+        Return the partial texts of a batch, as many as can be read before the deadline.
 
-        They stand near each other, so a read from one brings many. Read one by one they would
-        take seconds where the log is slow, and no item would be begun meanwhile.
+        Partial texts have nearby offsets, so one read returns many of them. Reading each by itself
+        would take seconds with a slow log, and no item is started until this returns.
         """
         offsets = self._index.list_partial_offsets(batch)
         partials = []
@@ -193,13 +200,17 @@
     def read_submission(
         self, batch: batch_table.Batch, deadline: clock.Deadline
     ) -> expression.Result[submission.Submission, content.JournalFailure]:
-        """Return what a trainer handed in."""
+        """Return the submission of a batch."""
         return self._content.read_submission(batch.accepted, deadline)
 
     def _append_index(
         self, items: list[records.IndexRecord], deadline: clock.Deadline
     ) -> expression.Result[None, content.JournalFailure]:
-        """Append until an answer comes or time is up; a record that stands twice does no harm."""
+        """
+        Append records to the index, repeating appends that were not answered until the deadline.
+
+        A record that is appended twice does no harm.
+        """
         contents = [records.encode_record(item) for item in items]
         may_have_effect = False
         while True:
--- a/libs/batches/oleander_batches/records.py
+++ b/libs/batches/oleander_batches/records.py
@@ -1,4 +1,4 @@
-"""Records of the index: small ones that every process reads, which point into the content."""
+"""Records of the batch index: short records, read by every process, that refer to the content."""
 
 import dataclasses
 import typing
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Accepted:
-    """A submission was accepted; the first record of a batch is the one that counts."""
+    """A submission was accepted; only the first such record of a batch counts."""
 
     batch_id: str
     host: str
@@ -26,17 +26,18 @@
     step: int
     oldest_version: int
     content_offset: int
+    """The offset of the submission's first record in its content partition."""
     content_records: int
-    """Over how many records in a row the submission is spread."""
+    """The number of consecutive records that hold the submission."""
     total: int
-    """How many items it has."""
+    """The number of items."""
     organisation: str = ""
-    """Whose batch it is; empty where nobody needs a key."""
+    """The organisation that owns the batch; empty if callers need no API key."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Finished:
-    """An item has its result; the first record of an item is the one that counts."""
+    """An item has a result; only the first such record of an item counts."""
 
     batch_id: str
     item_number: int
@@ -45,27 +46,29 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Ended:
-    """The trainer wants no more of a batch."""
+    """The trainer needs no further results of a batch, so its items must not be run any more."""
 
     batch_id: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Partial:
-    """The start of an item's text stands in the content."""
+    """A partial text of an item is stored in the content."""
 
     batch_id: str
     item_number: int
     content_offset: int
     events: int
+    """The number of stream events in the partial text."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Taken:
-    """A process runs the items of a batch, or, with an empty name, hands it to whoever is next."""
+    """A process runs the items of a batch, or hands the batch over for another process to run."""
 
     batch_id: str
     runner: str
+    """The name of the process; empty if it hands the batch over."""
 
 
 IndexRecord = Accepted | Finished | Ended | Partial | Taken
@@ -81,18 +84,18 @@
 
 
 def encode_record(record: IndexRecord) -> bytes:
-    """Return a record's bytes."""
+    """Encode a record as CBOR: the number of its type, then its fields in order."""
     fields = [getattr(record, field.name) for field in dataclasses.fields(record)]
     return cbor2.dumps([_KINDS[type(record)], *fields])
 
 
 def decode_record(content: bytes) -> expression.Result[IndexRecord, findings.Finding]:
-    """Return the record of some bytes; those of another writer are a finding."""
+    """Decode a record; invalid content yields a finding, not an exception."""
     try:
         kind, *fields = cbor2.loads(content)
         record = _TYPES[kind](*fields)
     except (cbor2.CBORDecodeError, ValueError, TypeError, KeyError) as error:
-        return expression.Error(findings.Finding("index", f"can't be read: {error!r}"[:200]))
+        return expression.Error(findings.Finding("index", f"can't be decoded: {error!r}"[:200]))
     for field in dataclasses.fields(record):
         if type(getattr(record, field.name)) is not field.type:
             return expression.Error(findings.Finding(f"index.{field.name}", "has a wrong type"))
--- a/libs/batches/oleander_batches/submission.py
+++ b/libs/batches/oleander_batches/submission.py
@@ -1,4 +1,4 @@
-"""A batch submission: the items of one training step, and how each result looks."""
+"""Data types and encodings of batch submissions, item results and partial texts."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Scoring:
-    """The request whose answer scores an item's text."""
+    """The request whose answer is the score of an item's text."""
 
     request_id: str
     host: str
@@ -29,41 +29,43 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     tokens: int
-    """The tokens of the prompt and the most that are generated."""
+    """The tokens of the prompt plus the maximum number of tokens to generate."""
     group: str
     scoring: Scoring | None
     expected_tokens: int = 0
-    """How many it will have as the trainer guesses, often far off; 0 for no guess."""
+    """The trainer's estimate of the sample's tokens, often inaccurate; 0 if it gave none."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Submission:
-    """What a trainer handed in for one step."""
+    """The items that a trainer submitted for one step."""
 
     batch_id: str
     host: str
     path: str
-    """With the host, this selects the route."""
+    """The path that selects the route, together with the host."""
     step: int
     model: str
     oldest_version: int
-    """Weights older than this may not make any of its tokens."""
+    """The oldest weight version that may generate any token of the batch."""
     wanted_groups: int
-    """How many whole groups the trainer waits for."""
+    """The number of complete groups that the trainer waits for."""
     items: tuple[Item, ...]
     organisation: str = ""
-    """Whose batch it is for as long as it is kept; empty where nobody needs a key."""
+    """The organisation that owns the batch for its lifetime; empty if callers need no API key."""
 
     def find_item(self, item_id: str) -> Item | None:
-        """Return an item by its id."""
+        """Return the item with this ID, or None."""
         return next((item for item in self.items if item.item_id == item_id), None)
 
 
 class ResultState(enum.Enum):
-    """What became of an item."""
+    """Whether an item has a text."""
 
     DONE = "done"
+    """The text was generated and scored."""
     LOST = "lost"
+    """The item was given up."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -74,26 +76,26 @@
     state: ResultState
     text: str
     versions: tuple[int, ...]
-    """All weight versions that made a part of the text."""
+    """All weight versions that generated a part of the text."""
     score: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PartialText:
-    """The start of an item's text, so that another process can go on from it."""
+    """The start of an item's text, from which another process can resume it."""
 
     item_number: int
     text: str
     events: int
     label: tuple[tuple[int, int], ...]
-    """Pairs of weight version and events, in order."""
+    """Pairs of a weight version and its number of events, in text order."""
 
 
 _Decoded = expression.Result[typing.Any, findings.Finding]
 
 
 def encode_submission(submission: Submission) -> bytes:
-    """Return a submission as one record."""
+    """Encode a submission as CBOR."""
     items = [_encode_item(item) for item in submission.items]
     return cbor2.dumps(
         [
@@ -111,39 +113,39 @@
 
 
 def decode_submission(content: bytes) -> expression.Result[Submission, findings.Finding]:
-    """Return the submission of a record, or why there is none."""
+    """Decode a submission; invalid content yields a finding."""
     return _decode("submission", content, _build_submission)
 
 
 def encode_result(result: ItemResult) -> bytes:
-    """Return a result as one record."""
+    """Encode an item's result as CBOR."""
     fields = [result.item_id, result.state.value, result.text, result.versions, result.score]
     return cbor2.dumps(fields)
 
 
 def decode_result(content: bytes) -> expression.Result[ItemResult, findings.Finding]:
-    """Return the result of a record, or why there is none."""
+    """Decode an item's result; invalid content yields a finding."""
     return _decode("result", content, _build_result)
 
 
 def encode_partial(partial: PartialText) -> bytes:
-    """Return a partial text as one record."""
+    """Encode a partial text as CBOR."""
     return cbor2.dumps([partial.item_number, partial.text, partial.events, partial.label])
 
 
 def decode_partial(content: bytes) -> expression.Result[PartialText, findings.Finding]:
-    """Return the partial text of a record, or why there is none."""
+    """Decode a partial text; invalid content yields a finding."""
     return _decode("partial", content, _build_partial)
 
 
 def _decode(
     place: str, content: bytes, build: typing.Callable[[typing.Any], typing.Any]
 ) -> _Decoded:
-    """Decode one record; another writer's bytes are a finding, not an exception."""
+    """Decode one record; content of another writer yields a finding, not an exception."""
     try:
         return expression.Ok(build(cbor2.loads(content)))
     except (cbor2.CBORDecodeError, ValueError, TypeError, IndexError, KeyError) as error:
-        return expression.Error(findings.Finding(place, f"can't be read: {error!r}"[:200]))
+        return expression.Error(findings.Finding(place, f"can't be decoded: {error!r}"[:200]))
 
 
 def _build_submission(fields: typing.Any) -> Submission:
