--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -1,4 +1,4 @@
-"""Batches in the platform's log: appended by any process, read by all."""
+"""Appends batches and their results to the platform's log, and reads them."""
 
 import collections
 import dataclasses
@@ -6,18 +6,19 @@
 import expression
 
 from oleander_base import clock, identifiers, log, tasks
-from oleander_batches import content, fold, index_reader, records, submission
+from oleander_batches import batch_table, content, index_reader, records, submission
 from oleander_platform import recordlog
 
-_AGAIN_SECONDS = 0.2
-"""Between tries while the log does not answer."""
-_MOST_ACCEPTED = 256
-"""Batches remembered as accepted by this process; it matters for seconds."""
+_RETRY_SECONDS = 0.2
+"""The least time left for another append to the index; the pause before it is half of this."""
+_MAX_ACCEPTED_HERE = 256
+"""Maximum number of batches remembered as accepted by this process; the information is needed only
+for some seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Listing:
-    """The results from a position on."""
+class ResultPage:
+    """Some of a batch's results, and the number of its items."""
 
     total: int
     results: tuple[submission.ItemResult, ...]
@@ -25,11 +26,11 @@
 
 class BatchJournal:
     """
-    The one place that writes batches and reads their texts; safe to use from several threads.
+    The interface through which all batch texts are written and read; thread-safe.
 
-    Texts stand in the content, some partitions by the batch's name; the index has a short record
-    for each that points there. Every process follows the index alone: following the texts too
-    would cost each process all of them, which grows with the square of the fleet.
+    Texts are stored in the content topic, partitioned by batch ID. The index has a short record
+    for each text that refers to it. Every process follows only the index: if every process also
+    read all texts, the load would grow with the square of the number of hosts.
     """
 
     def __init__(
@@ -44,23 +45,24 @@
         self._partitions = partitions
         self._content = content.BatchContent(log_service, partitions)
         self._index = index_reader.IndexReader(log_service, group, keep_seconds)
-        self._accepted_here: collections.deque[str] = collections.deque(maxlen=_MOST_ACCEPTED)
+        self._accepted_here: collections.deque[str] = collections.deque(maxlen=_MAX_ACCEPTED_HERE)
 
     @property
     def index(self) -> index_reader.IndexReader:
-        """What is known of batches, and the waits for more."""
+        """The reader of the index, which holds the state of all batches."""
         return self._index
 
     def was_accepted_here(self, batch_id: str) -> bool:
-        """Tell whether this process accepted a batch, in the last seconds at least."""
+        """Return whether this process accepted a batch; only recent batches are remembered."""
         return batch_id in self._accepted_here
 
-    def find_runner_partition(self, batch: fold.Batch) -> int:
+    def find_runner_partition(self, batch: batch_table.Batch) -> int:
         """
-        Return the partition whose owner runs a batch: the same for all batches of a model.
+        Return the partition whose owner runs a batch; it is the same for all batches of a model.
 
-        The runner knows what it has at each engine. With one for each batch, a trainer's steps in
-        a row filled the engines without knowing of each other, and each opened connections anew.
+        A runner knows only its own load on each engine. With a different runner for each batch,
+        the consecutive steps of a trainer overloaded the engines, and each runner opened its own
+        connections.
         """
         return (
             identifiers.hash_text(f"{batch.accepted.host}\n{batch.accepted.model}")
@@ -69,12 +71,13 @@
 
     def accept(
         self, accepted: submission.Submission, deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
+    ) -> expression.Result[None, content.JournalFailure]:
         """
-        Keep a submission; an error that may have had effect must not be called a refusal.
+        Append a submission to the content and to the index.
 
-        The content alone means nothing, so only the index record decides: where its append was
-        not answered it may appear later, and the batch will run.
+        Only the index record makes the batch run. If its append was not answered, the record may
+        still appear; the failure then has `may_have_effect` set and must not be reported as a
+        refusal.
         """
         kept = self._content.append_submission(accepted, deadline)
         if kept.is_error():
@@ -87,7 +90,7 @@
             accepted.step,
             accepted.oldest_version,
             kept.ok.first_offset,
-            kept.ok.records,
+            kept.ok.record_count,
             len(accepted.items),
             accepted.organisation,
         )
@@ -96,17 +99,17 @@
 
     def end(
         self, batch_id: str, deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
-        """Record that a trainer wants no more of a batch."""
+    ) -> expression.Result[None, content.JournalFailure]:
+        """End a batch, whose trainer needs no further results."""
         ended = self._append_index([records.Ended(batch_id)], deadline)
         if ended.is_ok():
-            self._index.apply_own(records.Ended(batch_id))
+            self._index.apply_appended(records.Ended(batch_id))
         return ended
 
-    def finish(
+    def append_results(
         self, batch_id: str, results: list[tuple[int, submission.ItemResult]]
-    ) -> expression.Result[None, content.NotDone]:
-        """Keep results, by the numbers of their items; safe to repeat after any failure."""
+    ) -> expression.Result[None, content.JournalFailure]:
+        """Append results, each with its item number; safe to repeat after any failure."""
         contents = [submission.encode_result(result) for _, result in results]
         appended = self._content.append(batch_id, contents)
         if appended.is_error():
@@ -115,12 +118,12 @@
             records.Finished(batch_id, number, appended.ok + place)
             for place, (number, _) in enumerate(results)
         ]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
-    def keep_partials(
+    def append_partials(
         self, batch_id: str, partials: list[submission.PartialText]
-    ) -> expression.Result[None, content.NotDone]:
-        """Keep the starts of texts, so that another process can go on from them."""
+    ) -> expression.Result[None, content.JournalFailure]:
+        """Append partial texts, from which another process can resume the items."""
         contents = [submission.encode_partial(partial) for partial in partials]
         appended = self._content.append(batch_id, contents)
         if appended.is_error():
@@ -129,22 +132,26 @@
             records.Partial(batch_id, item.item_number, appended.ok + place, item.events)
             for place, item in enumerate(partials)
         ]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
-    def note_runner(
+    def record_runner(
         self, batch_ids: list[str], runner: str
-    ) -> expression.Result[None, content.NotDone]:
-        """Tell all processes who runs batches; nobody, where the name is empty."""
+    ) -> expression.Result[None, content.JournalFailure]:
+        """Record which process runs batches; an empty name hands them over."""
         index: list[records.IndexRecord] = [records.Taken(name, runner) for name in batch_ids]
-        return self._append_index(index, clock.start_deadline(content.APPEND_SECONDS))
+        return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
     def read_results(
-        self, batch: fold.Batch, after: int, deadline: clock.Deadline
-    ) -> expression.Result[Listing, content.NotDone]:
-        """Return results from a position on: at least one where there is one."""
-        places = self._index.list_places(batch, after)
+        self, batch: batch_table.Batch, after: int, deadline: clock.Deadline
+    ) -> expression.Result[ResultPage, content.JournalFailure]:
+        """
+        Return the results from position `after` on, as many as one read of the log returns.
+
+        The page is empty only if there is no result at that position.
+        """
+        places = self._index.list_result_locations(batch, after)
         if not places:
-            return expression.Ok(Listing(batch.total, ()))
+            return expression.Ok(ResultPage(batch.total, ()))
         first = places[0].content_offset
         contents = self._content.read(batch.batch_id, first, deadline)
         if contents.is_error():
@@ -156,22 +163,22 @@
                 break
             decoded = submission.decode_result(found)
             if decoded.is_error():
-                return expression.Error(content.NotDone(str(decoded.error), False))
+                return expression.Error(content.JournalFailure(str(decoded.error), False))
             results.append(decoded.ok)
         if not results:
             return expression.Error(
-                content.NotDone("a result's content is not kept any more", False)
+                content.JournalFailure("the result's content is no longer in the log", False)
             )
-        return expression.Ok(Listing(batch.total, tuple(results)))
+        return expression.Ok(ResultPage(batch.total, tuple(results)))
 
     def read_partials(
-        self, batch: fold.Batch, deadline: clock.Deadline
+        self, batch: batch_table.Batch, deadline: clock.Deadline
     ) -> list[submission.PartialText]:
         """
-        Return the starts of a batch's texts, as many as can be read in time.
+        Return the partial texts of a batch, as many as can be read before the deadline.
 
-        They stand near each other, so a read from one brings many. Read one by one they would
-        take seconds where the log is slow, and no item would be begun meanwhile.
+        Partial texts have nearby offsets, so one read returns many of them. Reading each by itself
+        would take seconds with a slow log, and no item is started until this returns.
         """
         offsets = self._index.list_partial_offsets(batch)
         partials = []
@@ -191,25 +198,31 @@
         return partials
 
     def read_submission(
-        self, batch: fold.Batch, deadline: clock.Deadline
-    ) -> expression.Result[submission.Submission, content.NotDone]:
-        """Return what a trainer handed in."""
+        self, batch: batch_table.Batch, deadline: clock.Deadline
+    ) -> expression.Result[submission.Submission, content.JournalFailure]:
+        """Return the submission of a batch."""
         return self._content.read_submission(batch.accepted, deadline)
 
     def _append_index(
         self, items: list[records.IndexRecord], deadline: clock.Deadline
-    ) -> expression.Result[None, content.NotDone]:
-        """Append until an answer comes or time is up; a record that stands twice does no harm."""
+    ) -> expression.Result[None, content.JournalFailure]:
+        """
+        Append records to the index, repeating appends that were not answered until the deadline.
+
+        A record that is appended twice does no harm.
+        """
         contents = [records.encode_record(item) for item in items]
         may_have_effect = False
         while True:
-            attempt = deadline.earlier(content.APPEND_SECONDS)
+            attempt = deadline.earlier(content.APPEND_TIMEOUT_SECONDS)
             appended = self._log.append(
                 index_reader.TOPIC, index_reader.PARTITION, contents, attempt
             )
             if appended.is_ok():
                 return expression.Ok(None)
             may_have_effect = may_have_effect or appended.error.may_have_effect
-            if not may_have_effect or deadline.remaining < _AGAIN_SECONDS:
-                return expression.Error(content.NotDone(appended.error.detail, may_have_effect))
-            self._group.pause(_AGAIN_SECONDS / 2)
+            if not may_have_effect or deadline.remaining < _RETRY_SECONDS:
+                return expression.Error(
+                    content.JournalFailure(appended.error.detail, may_have_effect)
+                )
+            self._group.pause(_RETRY_SECONDS / 2)
--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -7,7 +7,7 @@
 import expression
 
 from oleander_base import clock, log, metrics
-from oleander_batches import content, fold, journal, submission
+from oleander_batches import batch_table, content, journal, submission
 
 _READ_TIMEOUT_SECONDS = 1.0
 """Bound on reading the log for one call. Trainers wait a little longer than the time that they
@@ -64,7 +64,7 @@
             if not _is_accessible(known, submitted.organisation):
                 return _build_error(BatchFault.MISSING, "the batch is not of this organisation")
             return expression.Ok(None)
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return self._refuse_while_cut_off(submitted.batch_id, "submission")
         accepted = self._journal.accept(submitted, deadline.earlier(_ACCEPT_TIMEOUT_SECONDS))
         if accepted.is_ok():
@@ -86,19 +86,19 @@
 
     def list_results(
         self, batch_id: str, organisation: str, after: int, wait: clock.Deadline
-    ) -> expression.Result[journal.Listing, BatchProblem]:
+    ) -> expression.Result[journal.ResultPage, BatchProblem]:
         """Return the results from position `after` on; wait until `wait` for the first of them."""
         found = self._find_batch(batch_id, organisation)
         if found.is_error():
             return expression.Error(found.error)
         batch = found.ok
-        if len(batch.listed) <= after:
-            self._journal.index.wait_longer(batch, after, wait)
-        if len(batch.listed) <= after and not self._refresh(
+        if len(batch.result_locations) <= after:
+            self._journal.index.wait_for_results(batch, after, wait)
+        if len(batch.result_locations) <= after and not self._refresh(
             clock.read_now() - _MAX_INDEX_AGE_SECONDS
         ):
             return _build_error(BatchFault.UNSURE, "the index can't be read")
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return _build_error(BatchFault.UNSURE, "the log does not answer here")
         listing = self._journal.read_results(
             batch, after, clock.start_deadline(_READ_TIMEOUT_SECONDS)
@@ -130,13 +130,13 @@
             return expression.Error(found.error)
         if found.ok.is_ended:
             return expression.Ok(None)
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return self._refuse_while_cut_off(batch_id, "end")
         ended = self._journal.end(batch_id, clock.start_deadline(_END_TIMEOUT_SECONDS))
         log.logger.bind(
             event="batch-ended",
             batch=batch_id,
-            listed=len(found.ok.listed),
+            listed=len(found.ok.result_locations),
             total=found.ok.total,
             error=ended.error.detail if ended.is_error() else "",
         ).info("ended" if ended.is_ok() else "not ended")
@@ -144,7 +144,7 @@
 
     def _find_batch(
         self, batch_id: str, organisation: str
-    ) -> expression.Result[fold.Batch, BatchProblem]:
+    ) -> expression.Result[batch_table.Batch, BatchProblem]:
         """
         Return a batch; if it is unknown, read the index to its present end first.
 
@@ -169,16 +169,16 @@
         return _build_error(BatchFault.REFUSED, "the log does not answer here")
 
     def _refresh(self, since: float) -> bool:
-        if self._journal.index.is_cut:
+        if self._journal.index.is_unreachable:
             return False
         return self._journal.index.refresh(since, clock.start_deadline(_READ_TIMEOUT_SECONDS))
 
 
-def _is_accessible(batch: fold.Batch, organisation: str) -> bool:
+def _is_accessible(batch: batch_table.Batch, organisation: str) -> bool:
     return batch.accepted.organisation in {"", organisation}
 
 
-def _convert_error(error: content.NotDone) -> BatchProblem:
+def _convert_error(error: content.JournalFailure) -> BatchProblem:
     if error.is_final:
         return BatchProblem(BatchFault.IMPOSSIBLE, error.detail)
     fault = BatchFault.UNKNOWN if error.may_have_effect else BatchFault.REFUSED
--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -1,7 +1,7 @@
 """Decides which batches this process runs, and announces them to other processes."""
 
 from oleander_base import clock, log
-from oleander_batches import fold, journal
+from oleander_batches import batch_table, journal
 from oleanderdeal import ownership
 
 _RUNNER_TIMEOUT_SECONDS = 1.6
@@ -45,28 +45,28 @@
         """Runner in the index, by batch, at the time when this process took the batch."""
         self._unheard_since: dict[str, float] = {}
 
-    def may_take(self, batch: fold.Batch) -> bool:
+    def may_take(self, batch: batch_table.Batch) -> bool:
         """Return whether this process should start to run a batch."""
         if not self._partition_ownership.owns(self._journal.find_runner_partition(batch)):
             return self._is_orphan(batch)
         if batch.runner in ("", self._name):
             return True
         now = clock.read_now()
-        if batch.heard_at:
-            return now >= batch.heard_at + _RUNNER_TIMEOUT_SECONDS
+        if batch.runner_heard_at:
+            return now >= batch.runner_heard_at + _RUNNER_TIMEOUT_SECONDS
         return (
             now
             >= self._unheard_since.setdefault(batch.batch_id, now)
             + _UNHEARD_RUNNER_TIMEOUT_SECONDS
         )
 
-    def must_stop(self, batch: fold.Batch) -> bool:
+    def must_stop(self, batch: batch_table.Batch) -> bool:
         """Return whether this process must stop a batch, as another may run or have taken it."""
         if not self._partition_ownership.is_assignment_valid:
             return True
         return batch.runner not in (self._name, self._previous_runners.get(batch.batch_id, ""))
 
-    def record_taken(self, batch: fold.Batch) -> None:
+    def record_taken(self, batch: batch_table.Batch) -> None:
         """Record that this process runs a batch from now on."""
         self._unheard_since.clear()
         if not self._partition_ownership.owns(self._journal.find_runner_partition(batch)):
@@ -79,7 +79,7 @@
         """Discard the state of a batch that this process no longer runs."""
         self._previous_runners.pop(batch_id, None)
 
-    def announce(self, batches: list[fold.Batch]) -> None:
+    def announce(self, batches: list[batch_table.Batch]) -> None:
         """
         Announce in the index that this process runs these batches, unless it did so recently.
 
@@ -91,11 +91,11 @@
         if doubtful:
             self._write_runner(doubtful, self._name)
 
-    def release(self, batches: list[fold.Batch]) -> bool:
+    def release(self, batches: list[batch_table.Batch]) -> bool:
         """Hand these batches over to the owners of their partitions; return success."""
         return not batches or self._write_runner([batch.batch_id for batch in batches], "")
 
-    def _is_orphan(self, batch: fold.Batch) -> bool:
+    def _is_orphan(self, batch: batch_table.Batch) -> bool:
         """
         Return whether this process accepted a batch that no process has announced in time.
 
@@ -108,15 +108,15 @@
             return False
         if not self._journal.was_accepted_here(batch.batch_id):
             return False
-        orphan_at = max(batch.seen_at, batch.heard_at) + _ORPHAN_TIMEOUT_SECONDS
-        return self._journal.index.complete_at >= orphan_at
+        orphan_at = max(batch.first_read_at, batch.runner_heard_at) + _ORPHAN_TIMEOUT_SECONDS
+        return self._journal.index.complete_as_of >= orphan_at
 
-    def _needs_announcement(self, batch: fold.Batch) -> bool:
-        was_heard = clock.read_now() < batch.heard_at + _ANNOUNCE_AFTER_SECONDS
+    def _needs_announcement(self, batch: batch_table.Batch) -> bool:
+        was_heard = clock.read_now() < batch.runner_heard_at + _ANNOUNCE_AFTER_SECONDS
         return batch.runner != self._name or not was_heard
 
     def _write_runner(self, batch_ids: list[str], runner: str) -> bool:
-        said = self._journal.note_runner(batch_ids, runner)
+        said = self._journal.record_runner(batch_ids, runner)
         log.logger.bind(
             event="batch-tenure",
             batches=batch_ids,
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -5,7 +5,7 @@
 import threading
 
 from oleander_base import clock, identifiers
-from oleander_batches import fold, submission
+from oleander_batches import batch_table, submission
 from oleander_direct import servers
 from oleander_routing import router
 from oleander_samples import hedging, scheduler, steps, work
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        batch: fold.Batch,
+        batch: batch_table.Batch,
         submitted: submission.Submission,
         event_tokens: int,
     ) -> None:
@@ -91,7 +91,7 @@
         self._known_finished: set[int] = set()
 
     @property
-    def batch(self) -> fold.Batch:
+    def batch(self) -> batch_table.Batch:
         """The batch as recorded in the index."""
         return self._batch
 
@@ -103,7 +103,7 @@
     @property
     def age_seconds(self) -> float:
         """Seconds since this process first read the batch in the index."""
-        return clock.read_now() - self._batch.seen_at
+        return clock.read_now() - self._batch.first_read_at
 
     @property
     def is_stopped(self) -> bool:
@@ -129,7 +129,7 @@
     def drop_finished_items(self) -> None:
         """Drop items with a result in the index, from any process; cancel their attempts."""
         with self._lock:
-            for number in list(self._batch.finished - self._known_finished):
+            for number in list(self._batch.finished_items - self._known_finished):
                 self._known_finished.add(number)
                 self._cancelled.update(self._scheduler.stop_sample(number))
 
@@ -140,7 +140,7 @@
         return [
             (number, submission.ItemResult(item.item_id, lost, "", (), ""))
             for number, item in enumerate(self._submitted.items)
-            if number not in self._batch.finished and number not in self._results
+            if number not in self._batch.finished_items and number not in self._results
         ]
 
     def restore_partial(self, partial: submission.PartialText) -> None:
@@ -188,7 +188,7 @@
         for number, item in enumerate(self._submitted.items):
             submitted = self._submitted
             known = texts.find(submitted.organisation, item.item_id, submitted.model)
-            if known is None or number in self._batch.finished:
+            if known is None or number in self._batch.finished_items:
                 continue
             if known.partial is not None:
                 self.restore_partial(dataclasses.replace(known.partial, item_number=number))
--- a/programs/oleanderdeal/oleanderdeal/checkpoints.py
+++ b/programs/oleanderdeal/oleanderdeal/checkpoints.py
@@ -26,7 +26,7 @@
         partials = run.list_grown_partials(min_events) if run.batch.is_open else []
         if not partials:
             return True
-        saved = self._journal.keep_partials(run.batch.batch_id, partials)
+        saved = self._journal.append_partials(run.batch.batch_id, partials)
         if saved.is_ok():
             run.record_checkpointed(partials)
         log.logger.bind(
