--- a/features/once_trial.py
+++ b/features/once_trial.py
@@ -73,7 +73,7 @@
     @property
     def shard(self):
         """The stream that the key's claims stand in."""
-        return keys.find_shard(CUSTOMER, self.key, _SHARDS)
+        return keys.compute_shard(CUSTOMER, self.key, _SHARDS)
 
     def warm_up(self):
         """Run another key of the same stream through each entry until both have read it."""
@@ -85,7 +85,7 @@
         self._probes += 1
         names = (f"probe-{self.key}-{self._probes}-{number}" for number in range(1000))
         key = next(
-            name for name in names if keys.find_shard(CUSTOMER, name, _SHARDS) == self.shard
+            name for name in names if keys.compute_shard(CUSTOMER, name, _SHARDS) == self.shard
         )
         return self.deployment.deployed.call(entry, CUSTOMER, OPERATION, {}, key).status
 
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -16,7 +16,7 @@
     claims = table.ClaimTable(0, window)
     for offset, name in enumerate(names):
         if offset >= skipped:
-            claims.fold(offset, write_claim(name))
+            claims.apply(offset, write_claim(name))
     return claims.find("catania", _KEY)
 
 
--- a/libs/claims/oleander_claims/__init__.py
+++ b/libs/claims/oleander_claims/__init__.py
@@ -1,5 +1,5 @@
 """Who runs a non-repeatable request: decided by the order of records in the log."""
 
-from oleander_claims import book, keys, log_health, records, shard, table
+from oleander_claims import keys, log_health, records, shard, sharded_claims, table
 
-__all__ = ["book", "keys", "log_health", "records", "shard", "table"]
+__all__ = ["keys", "log_health", "records", "shard", "sharded_claims", "table"]
--- a/libs/claims/oleander_claims/keys.py
+++ b/libs/claims/oleander_claims/keys.py
@@ -8,6 +8,6 @@
 from oleander_base import identifiers
 
 
-def find_shard(customer: str, key: str, shards: int) -> int:
+def compute_shard(customer: str, key: str, shards: int) -> int:
     """Return the claims stream of a key; the same on every host."""
     return identifiers.hash_text(f"{customer}/{key}") % shards
--- a/libs/claims/oleander_claims/log_health.py
+++ b/libs/claims/oleander_claims/log_health.py
@@ -4,7 +4,7 @@
 
 from oleander_base import clock
 
-_STUCK_SECONDS = 1.0
+_HANG_SECONDS = 1.0
 _RETRY_SECONDS = 0.2
 
 
@@ -18,35 +18,35 @@
     is tried again soon.
     """
 
-    def __init__(self, hung: threading.Event) -> None:
+    def __init__(self, append_hung: threading.Event) -> None:
         """Create the health of one stream; that an append hung is shared by all of them."""
-        self._stuck_at: clock.Deadline | None = None
+        self._append_hangs_at: clock.Deadline | None = None
         self._failing_until: clock.Deadline | None = None
-        self._hung = hung
+        self._append_hung = append_hung
 
     @property
     def is_failing(self) -> bool:
         """Whether a claim would only wait; refusing it lets the caller come back sooner."""
-        stuck, failing = self._stuck_at, self._failing_until
-        if self._hung.is_set() or (stuck is not None and stuck.is_past):
+        hangs_at, failing_until = self._append_hangs_at, self._failing_until
+        if self._append_hung.is_set() or (hangs_at is not None and hangs_at.is_past):
             return True
-        return failing is not None and not failing.is_past
+        return failing_until is not None and not failing_until.is_past
 
-    def start_append(self) -> None:
+    def record_append_start(self) -> None:
         """Note that an append begins."""
-        self._stuck_at = clock.start_deadline(_STUCK_SECONDS)
+        self._append_hangs_at = clock.start_deadline(_HANG_SECONDS)
 
-    def end_append(self) -> None:
+    def record_append_end(self) -> None:
         """Note that the append's claims were decided."""
-        self._stuck_at = None
+        self._append_hangs_at = None
 
-    def fail_append(self) -> None:
+    def record_append_failure(self) -> None:
         """Note that the append failed, and its claims were not read back."""
         self._failing_until = clock.start_deadline(_RETRY_SECONDS)
-        if self._stuck_at is not None and self._stuck_at.is_past:
-            self._hung.set()
-        self._stuck_at = None
+        if self._append_hangs_at is not None and self._append_hangs_at.is_past:
+            self._append_hung.set()
+        self._append_hangs_at = None
 
-    def note_read(self) -> None:
+    def record_read(self) -> None:
         """Note that the log answered a read."""
-        self._hung.clear()
+        self._append_hung.clear()
--- a/libs/claims/oleander_claims/records.py
+++ b/libs/claims/oleander_claims/records.py
@@ -49,5 +49,5 @@
     claim: Claim
     shard: int
     offset: int
-    folded_at: float = dataclasses.field(default=0.0, compare=False)
+    read_at: float = dataclasses.field(default=0.0, compare=False)
     """When this process read it, in monotonic seconds; says only how fresh it is here."""
--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -13,8 +13,8 @@
 from oleander_claims import log_health, records, table
 from oleander_platform import logservice
 
-_MOST_IN_APPEND = 200
-_MOST_WAITING = 2000
+_MAX_CLAIMS_PER_APPEND = 200
+_MAX_WAITING_CLAIMS = 2000
 _APPEND_SECONDS = 2.0
 _READ_BACK_SECONDS = 0.5
 _CATCH_UP_SECONDS = 0.5
@@ -22,7 +22,7 @@
 _READ_WAIT_MS = 1000
 _READ_SECONDS = 2.0
 _RETRY_SECONDS = 0.2
-_BEYOND_END = 2**53
+_OFFSET_BEYOND_END = 2**53
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -40,12 +40,12 @@
 class _Proposal:
     claim: records.Claim
     deadline: clock.Deadline
-    decided: concurrent.futures.Future[ClaimResult]
+    decision: concurrent.futures.Future[ClaimResult]
 
-    def settle(self, result: ClaimResult) -> None:
+    def resolve(self, result: ClaimResult) -> None:
         """Tell the claimant; only the first result counts, and none once it has given up."""
         with contextlib.suppress(concurrent.futures.InvalidStateError):
-            self.decided.set_result(result)
+            self.decision.set_result(result)
 
 
 class ClaimShard:
@@ -74,10 +74,10 @@
         self._table = table.ClaimTable(shard, window)
         self._next_offset = 0
         self._caught_up = threading.Event()
-        self._read_at = -math.inf
+        self._last_read_at = -math.inf
         self._read_failed = False
         self._health = health
-        self._waiting: queue.Queue[_Proposal] = queue.Queue(_MOST_WAITING)
+        self._waiting: queue.Queue[_Proposal] = queue.Queue(_MAX_WAITING_CLAIMS)
         self._proposals: dict[str, _Proposal] = {}
 
     @property
@@ -86,18 +86,18 @@
         return self._caught_up.is_set()
 
     @property
-    def read_at(self) -> float:
+    def last_read_at(self) -> float:
         """When the newest read that reached the stream's end began, in monotonic seconds."""
-        return self._read_at
+        return self._last_read_at
 
     @property
-    def is_settled(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the stream was read to its end, or can't be read now."""
         return self._caught_up.is_set() or self._read_failed
 
     def start(self) -> None:
         """Start the two tasks that follow the stream and append to it."""
-        self._group.keep(self._follow)
+        self._group.keep(self._follow_stream)
         self._group.keep(self._append_groups)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
@@ -131,30 +131,30 @@
             return expression.Error(ClaimError("claims-waiting", 500))
         try:
             limit = proposal.deadline.earlier(_DECISION_SECONDS)
-            return proposal.decided.result(timeout=limit.remaining)
+            return proposal.decision.result(timeout=limit.remaining)
         except concurrent.futures.TimeoutError:
-            if proposal.decided.cancel():
+            if proposal.decision.cancel():
                 return expression.Error(ClaimError("log-slow", 1000))
-            return proposal.decided.result()
+            return proposal.decision.result()
 
     def _append_groups(self) -> None:
         while not self._group.is_stopping:
-            group = self._take_group()
+            group = self._collect_group()
             if group:
                 self._append_group(group)
 
-    def _take_group(self) -> list[_Proposal]:
+    def _collect_group(self) -> list[_Proposal]:
         """Return what waits, so that claims that come together share one append."""
         try:
             group = [self._waiting.get(timeout=0.5)]
         except queue.Empty:
             return []
-        group += self._take_waiting(_MOST_IN_APPEND - 1)
-        return [item for item in group if not item.decided.done()]
+        group += self._pop_waiting(_MAX_CLAIMS_PER_APPEND - 1)
+        return [item for item in group if not item.decision.done()]
 
-    def _take_waiting(self, most: int) -> list[_Proposal]:
+    def _pop_waiting(self, limit: int) -> list[_Proposal]:
         taken: list[_Proposal] = []
-        while len(taken) < most:
+        while len(taken) < limit:
             try:
                 taken.append(self._waiting.get_nowait())
             except queue.Empty:
@@ -164,15 +164,15 @@
     def _append_group(self, group: list[_Proposal]) -> None:
         deadline = clock.start_deadline(_APPEND_SECONDS)
         values = [item.claim.to_value() for item in group]
-        self._health.start_append()
+        self._health.record_append_start()
         appended = self._service.append(self._stream, values, deadline)
         if appended.is_error() and not self._are_read_back(group, appended.error):
             self._refuse_group(group, appended.error)
-        self._health.end_append()
+        self._health.record_append_end()
 
     def _are_read_back(self, group: list[_Proposal], error: logservice.LogError) -> bool:
         """Wait a moment for claims whose append may have taken effect without an answer."""
-        futures = [item.decided for item in group]
+        futures = [item.decision for item in group]
         if error.may_have_effect:
             concurrent.futures.wait(futures, timeout=_READ_BACK_SECONDS)
         return all(future.done() and not future.cancelled() for future in futures)
@@ -186,12 +186,12 @@
         """
         metrics.count(metrics.LOG_OUTAGES)
         log.warn_bounded("log-append-failed", f"{self._stream}: {error.detail}")
-        self._health.fail_append()
+        self._health.record_append_failure()
         refusal = ClaimError("log-failing", max(200, error.retry_after_ms))
-        for item in [*group, *self._take_waiting(_MOST_WAITING)]:
-            item.settle(expression.Error(refusal))
+        for item in [*group, *self._pop_waiting(_MAX_WAITING_CLAIMS)]:
+            item.resolve(expression.Error(refusal))
 
-    def _follow(self) -> None:
+    def _follow_stream(self) -> None:
         while not self._group.is_stopping and not self._find_start():
             self._group.pause(_RETRY_SECONDS)
         while not self._group.is_stopping:
@@ -202,7 +202,7 @@
         """Start one window before the end: older claims are forgotten by everyone."""
         started_at = clock.read_now()
         page = self._service.read(
-            self._stream, _BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
+            self._stream, _OFFSET_BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
         )
         self._read_failed = page.is_error()
         if page.is_error():
@@ -210,7 +210,7 @@
             return False
         start = max(page.ok.first_offset, page.ok.next_offset - self._window)
         self._next_offset = max(0, start)
-        self._note_read(page.ok, started_at)
+        self._record_read(page.ok, started_at)
         return True
 
     def _read_page(self) -> bool:
@@ -222,23 +222,23 @@
             self._report_read_failure(page.error)
             return False
         if page.ok.first_offset > self._next_offset:
-            self._skip_lost(page.ok.first_offset)
+            self._skip_deleted(page.ok.first_offset)
         for record in page.ok.records:
-            self._fold_record(record)
-        self._note_read(page.ok, started_at)
+            self._apply_record(record)
+        self._record_read(page.ok, started_at)
         return True
 
-    def _note_read(self, page: logservice.Page, started_at: float) -> None:
-        self._health.note_read()
+    def _record_read(self, page: logservice.Page, started_at: float) -> None:
+        self._health.record_read()
         if self._next_offset >= page.next_offset:
-            self._read_at = started_at
+            self._last_read_at = started_at
             self._caught_up.set()
 
     def _report_read_failure(self, error: logservice.LogError) -> None:
         metrics.count(metrics.LOG_OUTAGES)
         log.warn_bounded("log-read-failed", f"{self._stream}: {error.detail}")
 
-    def _skip_lost(self, first_offset: int) -> None:
+    def _skip_deleted(self, first_offset: int) -> None:
         """Go on where the log still has records; what was deleted can't be decided here."""
         log.warn_bounded(
             "claims-deleted",
@@ -249,9 +249,9 @@
             lost = list(self._proposals.values())
             self._next_offset = first_offset
         for proposal in lost:
-            proposal.settle(expression.Error(ClaimError("claim-lost", 1000)))
+            proposal.resolve(expression.Error(ClaimError("claim-lost", 1000)))
 
-    def _fold_record(self, record: logservice.Record) -> None:
+    def _apply_record(self, record: logservice.Record) -> None:
         invariants.require(
             record.offset >= self._next_offset,
             "claims-in-order",
@@ -262,7 +262,7 @@
             self._next_offset = record.offset + 1
             if claim is None:
                 return
-            in_force = self._table.fold(record.offset, claim)
+            in_force = self._table.apply(record.offset, claim)
             proposal = self._proposals.get(claim.nonce)
         if proposal is not None:
-            proposal.settle(expression.Ok(in_force))
+            proposal.resolve(expression.Ok(in_force))
--- a/libs/claims/oleander_claims/book.py
+++ b/libs/claims/oleander_claims/sharded_claims.py
@@ -9,22 +9,22 @@
 TASKS_PER_SHARD = 2
 
 
-class ClaimBook:
+class ShardedClaims:
     """Looks up and proposes claims, each in the stream that its key belongs to."""
 
     def __init__(
         self, service: logservice.LogService, group: tasks.TaskGroup, shards: int, window: int
     ) -> None:
-        hung = threading.Event()
+        append_hung = threading.Event()
         self._shards = [
-            shard.ClaimShard(n, service, group, window, log_health.LogHealth(hung))
+            shard.ClaimShard(n, service, group, window, log_health.LogHealth(append_hung))
             for n in range(shards)
         ]
 
     @property
-    def is_settled(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether claims are decided as well as they can be: all read, or the log is down."""
-        return all(item.is_settled for item in self._shards)
+        return all(item.is_ready for item in self._shards)
 
     def start(self) -> None:
         """Start following every stream."""
@@ -35,13 +35,13 @@
         """Return the claim in force for a key, as far as its stream was read."""
         return self._find_shard(customer, key).find(customer, key)
 
-    def find_read_time(self, customer: str, key: str) -> float:
+    def find_last_read_time(self, customer: str, key: str) -> float:
         """Return when the newest whole read of a key's stream began, in monotonic seconds."""
-        return self._find_shard(customer, key).read_at
+        return self._find_shard(customer, key).last_read_at
 
     def propose(self, claim: records.Claim, deadline: clock.Deadline) -> shard.ClaimResult:
         """Append a claim and return the one in force for its key, which may be another's."""
         return self._find_shard(claim.customer, claim.key).propose(claim, deadline)
 
     def _find_shard(self, customer: str, key: str) -> shard.ClaimShard:
-        return self._shards[keys.find_shard(customer, key, len(self._shards))]
+        return self._shards[keys.compute_shard(customer, key, len(self._shards))]
--- a/libs/claims/oleander_claims/table.py
+++ b/libs/claims/oleander_claims/table.py
@@ -29,9 +29,9 @@
         """Return the claim in force for a key."""
         return self._in_force.get((customer, key))
 
-    def fold(self, offset: int, claim: records.Claim) -> records.LoggedClaim:
+    def apply(self, offset: int, claim: records.Claim) -> records.LoggedClaim:
         """Take in the next record; return the claim that is in force for its key."""
-        self._forget_before(offset - self._window)
+        self._evict_before(offset - self._window)
         name = (claim.customer, claim.key)
         current = self._in_force.get(name)
         logged = records.LoggedClaim(claim, self._shard, offset, clock.read_now())
@@ -41,7 +41,7 @@
         self._in_force.move_to_end(name)
         return logged
 
-    def _forget_before(self, offset: int) -> None:
+    def _evict_before(self, offset: int) -> None:
         while self._in_force:
             oldest = next(iter(self._in_force.values()))
             if oldest.offset >= offset:
--- a/libs/direct/oleander_direct/__init__.py
+++ b/libs/direct/oleander_direct/__init__.py
@@ -15,11 +15,11 @@
 __all__ = [
     "call_outcomes",
     "calls",
-    "retry_advice",
     "crash_guard",
     "directory",
+    "fair_share",
     "organisations",
+    "retry_advice",
     "routes",
     "servers",
-    "fair_share",
 ]
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -3,7 +3,7 @@
 import threading
 
 from oleander_base import clock, identifiers, log, tasks
-from oleander_claims import book
+from oleander_claims import sharded_claims
 from oleander_contracts import fold
 from oleander_platform import hostlist, http_hostlist, http_logservice
 from oleander_routing import retries, router
@@ -46,7 +46,7 @@
     def __init__(self, chosen: settings.Settings) -> None:
         self._chosen = chosen
         self._leaving = threading.Event()
-        shard_tasks = chosen.claim_shards * book.TASKS_PER_SHARD
+        shard_tasks = chosen.claim_shards * sharded_claims.TASKS_PER_SHARD
         most_tasks = (
             chosen.peer_limit
             + _MOST_EXTRA_LINKS
@@ -63,7 +63,7 @@
         self._records = peer_records.PeerRecords(self._follower)
         self._routes = router.Router(identifiers.hash_text(chosen.name), clock.read_now)
         self._links = peers.PeerLinks(self._create_link, self._group, _MOST_EXTRA_LINKS)
-        self._claims = book.ClaimBook(
+        self._claims = sharded_claims.ShardedClaims(
             log_service, self._group, chosen.claim_shards, chosen.claim_window
         )
         self._steps = registry.StepRegistry()
@@ -158,7 +158,7 @@
     def _is_ready(self) -> bool:
         if self._leaving.is_set() or not self._follower.is_caught_up:
             return False
-        return self._claims.is_settled and bool(self._routes.list_peers())
+        return self._claims.is_ready and bool(self._routes.list_peers())
 
     def _drain(self) -> None:
         """
--- a/programs/oleanderdeal/oleanderdeal/key_inquiry.py
+++ b/programs/oleanderdeal/oleanderdeal/key_inquiry.py
@@ -6,7 +6,7 @@
 """
 
 from oleander_base import clock
-from oleander_claims import book
+from oleander_claims import sharded_claims
 from oleander_wire import messages
 from oleanderdeal import callers, calls, peer_link, peers
 
@@ -25,7 +25,7 @@
     "unknown".
     """
 
-    def __init__(self, claims: book.ClaimBook, links: peers.PeerLinks) -> None:
+    def __init__(self, claims: sharded_claims.ShardedClaims, links: peers.PeerLinks) -> None:
         self._claims = claims
         self._links = links
 
@@ -37,7 +37,7 @@
         for answer in answers:
             if answer is not None and answer.outcome is not messages.Outcome.NOT_RUN:
                 return _pass_on(answer)
-        read_at = self._claims.find_read_time(request.customer, request.key)
+        read_at = self._claims.find_last_read_time(request.customer, request.key)
         is_sure = self._links.covers_all and None not in answers
         if not is_sure or self._links.lost_at >= read_at:
             return callers.tell_unknown(REASON_UNSURE, _RETRY_MS)
--- a/programs/oleanderdeal/oleanderdeal/once.py
+++ b/programs/oleanderdeal/oleanderdeal/once.py
@@ -12,7 +12,7 @@
 import expression
 
 from oleander_base import clock, identifiers, invariants, log
-from oleander_claims import book, records, shard
+from oleander_claims import records, shard, sharded_claims
 from oleander_contracts import contract
 from oleander_routing import router
 from oleander_wire import messages
@@ -51,7 +51,7 @@
     """Claims a key, sends its request to the claimed sidecar, or follows an earlier claim."""
 
     def __init__(
-        self, claims: book.ClaimBook, routes: router.Router, links: peers.PeerLinks
+        self, claims: sharded_claims.ShardedClaims, routes: router.Router, links: peers.PeerLinks
     ) -> None:
         self._claims = claims
         self._routes = routes
@@ -214,7 +214,7 @@
         another attempt and breaks no promise.
         """
         claim = logged.claim
-        fresh = clock.Deadline(logged.folded_at + _FRESH_SECONDS)
+        fresh = clock.Deadline(logged.read_at + _FRESH_SECONDS)
         while not fresh.is_past and not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
             call = key_inquiry.ask(link, request)
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -3,7 +3,7 @@
 import expression
 
 from oleander_base import clock
-from oleander_claims import book
+from oleander_claims import sharded_claims
 from oleander_contracts import contract
 from oleander_routing import router
 from oleander_wire import messages
@@ -26,7 +26,7 @@
     def __init__(
         self,
         office: tickets.TicketOffice,
-        claims: book.ClaimBook,
+        claims: sharded_claims.ShardedClaims,
         routes: router.Router,
         links: peers.PeerLinks,
         claimed: once.OnceDispatcher,
