--- a/libs/quarantine/oleander_quarantine/__init__.py
+++ b/libs/quarantine/oleander_quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that are kept from backend servers because servers ended under them."""
+"""Quarantine of requests and weights that repeatedly crash backend servers."""
 
 from oleander_quarantine import ledger, records
 
--- a/libs/quarantine/oleander_quarantine/ledger.py
+++ b/libs/quarantine/oleander_quarantine/ledger.py
@@ -1,4 +1,4 @@
-"""Quarantines requests that crash the backend servers that run them."""
+"""The crashes recorded for each request, and the quarantines that follow from them."""
 
 import collections
 import collections.abc
@@ -10,59 +10,79 @@
 from oleander_quarantine import records
 
 CRASH_THRESHOLD = 3
-"""Crashes that lead to a quarantine, whatever else the servers ran."""
+"""How many crashes lead to a quarantine if the servers were also running other requests."""
 CRASH_ALONE_THRESHOLD = 2
-"""Crashes that lead to a quarantine where the request ran alone, so nothing else is the cause."""
+"""
+How many crashes lead to a quarantine if the request was the only one running.
+
+Fewer are needed then, since no other request can be the cause.
+"""
 CALL_QUARANTINE_SECONDS = 60.0
-"""Of a caller's request, at first. Each further crash doubles it, so that a request which never
-succeeds is tried ever less."""
+"""
+The first quarantine of a caller's request.
+
+Each further crash doubles it, so that a request that never succeeds is tried less and less often.
+"""
 BATCH_QUARANTINE_SECONDS = 4.0
-"""Of an item or a scoring, at first. Many run at one server, so most that recur in crashes are
-neighbours of the cause, and their batch waits for them."""
+"""
+The first quarantine of a batch item, a scoring request or a weight version.
+
+It is short, since many items run at one server: most of those that are recorded for repeated
+crashes only ran beside the cause, and their batch waits for them.
+"""
 MAX_QUARANTINE_SECONDS = 6 * 3600.0
+"""The limit on the doubling of quarantines."""
 _EXPIRY_FACTOR = 2.0
-"""Crashes are forgotten after this many times the quarantine that they led to."""
+"""Crashes expire after this many times the length of the quarantine that they led to."""
 _EXPIRY_JITTER = 0.5
-"""Forgotten up to so much later, so that one process removes the records and not all at once."""
+"""
+The largest random fraction by which the expiry is delayed.
+
+So one process removes the shared records first, rather than all processes at the same time.
+"""
 _MAX_SUSPECTS = 4096
-"""Past this the request whose crashes were first recorded is forgotten."""
+"""When more requests have crashes, the one whose crashes were recorded first is evicted."""
 _MAX_CLEARED = 1024
+"""When more requests are cleared, the one that was answered longest ago is evicted."""
 _CLEARED_SECONDS = 60.0
-"""A request that a server answered is not the cause of crashes for so long."""
+"""How long after an answer no crashes are recorded for a request."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    """A request under which servers ended."""
+    """The crashes that are recorded for one request."""
 
     crashes: dict[str, bool] = dataclasses.field(default_factory=dict)
-    """By run of a server; whether the request was alone there."""
+    """Whether the request ran alone, by the hash of the server's incarnation."""
     crashed_at: float = 0.0
+    """When the newest crash was recorded, in monotonic seconds."""
     expires_at: float = 0.0
+    """When the crashes are to be removed, in monotonic seconds."""
 
     @property
     def crashes_over_threshold(self) -> int:
-        """Crashes beyond those that lead to a quarantine; below zero where they don't."""
+        """The number of crashes above a threshold; negative if they lead to no quarantine."""
         alone = sum(self.crashes.values())
         return max(len(self.crashes) - CRASH_THRESHOLD, alone - CRASH_ALONE_THRESHOLD)
 
     def compute_release_time(self, initial_seconds: float) -> float:
-        """Return when a quarantine ends that at first lasts so long."""
+        """Return when the quarantine ends, given the length of a first one; monotonic seconds."""
         seconds = initial_seconds * 2.0 ** max(0, self.crashes_over_threshold)
         return self.crashed_at + min(MAX_QUARANTINE_SECONDS, seconds)
 
 
 class CrashLedger:
     """
-    Crashes by request, and the quarantine that follows from them; thread-safe.
+    Records crashes by request fingerprint and derives quarantines from them; thread-safe.
 
-    A server that ends says nothing of which request was the cause. One that recurs in crashes of
-    several servers is the cause, or has shared each server with it. A request that a server
-    answered is not the cause: its crashes are dropped, and for a while further ones don't count,
-    since a request asked for all the time is in progress whenever servers are lost.
+    The crash of a server doesn't show which of its requests was the cause. A request that was
+    running in the crashes of several servers is the cause, or shared each server with it. A
+    request that a server answered is not the cause: its crashes are dropped, and for a while
+    further ones don't count, since a request that is sent all the time is running whenever
+    servers are lost.
 
-    A quarantine ends with a trial: the request may go to servers again, and the next crash leads
-    to a quarantine twice as long.
+    After its quarantine a request may be sent to servers again, and the next crash leads to a
+    quarantine twice as long.
     """
 
     def __init__(
@@ -76,11 +96,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no server ended under any request."""
+        """Whether no crashes are recorded."""
         return not self._suspects
 
     def record_crash(self, key: records.CrashKey, was_alone: bool) -> bool:
-        """Record a crash; return whether it is new."""
+        """Record a crash; return False if it was known or its request was answered lately."""
         with self._lock:
             if self._is_cleared(key.fingerprint):
                 return False
@@ -94,7 +114,7 @@
             return True
 
     def record_answer(self, fingerprint: str) -> list[records.CrashKey]:
-        """Record that a server answered a request; return the crashes that no longer count."""
+        """Record that a server answered a request, and return the crashes dropped for it."""
         with self._lock:
             self._cleared_until[fingerprint] = self._read_now() + _CLEARED_SECONDS
             self._cleared_until.move_to_end(fingerprint)
@@ -103,7 +123,7 @@
             return self._pop_crashes(fingerprint)
 
     def remove_crash(self, key: records.CrashKey) -> None:
-        """Remove a crash that no longer counts."""
+        """Remove a crash that another process has withdrawn."""
         with self._lock:
             suspect = self._suspects.get(key.fingerprint)
             if suspect is None:
@@ -113,18 +133,18 @@
                 del self._suspects[key.fingerprint]
 
     def pop_expired(self) -> list[records.CrashKey]:
-        """Evict requests whose crashes are long past; return the crashes that were removed."""
+        """Remove the crashes of requests that have expired, and return them."""
         with self._lock:
             now = self._read_now()
             expired = [name for name, item in self._suspects.items() if item.expires_at <= now]
             return [key for name in expired for key in self._pop_crashes(name)]
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a server ended under a request."""
+        """Return whether any crashes are recorded for a request."""
         return fingerprint in self._suspects
 
     def is_recurrent(self, fingerprint: str) -> bool:
-        """Return whether a request recurs in crashes, in quarantine or after it."""
+        """Return whether a request has enough crashes for a quarantine, even if it has ended."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
             return suspect is not None and suspect.crashes_over_threshold >= 0
@@ -132,7 +152,7 @@
     def find_quarantine(
         self, fingerprint: str, initial_seconds: float = CALL_QUARANTINE_SECONDS
     ) -> clock.Deadline | None:
-        """Return the end of a request's quarantine, or nothing where there is none."""
+        """Return the end of a request's quarantine, or None if it is in none."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
             if suspect is None or suspect.crashes_over_threshold < 0:
--- a/libs/quarantine/oleander_quarantine/records.py
+++ b/libs/quarantine/oleander_quarantine/records.py
@@ -1,4 +1,4 @@
-"""Crashes of backend servers under a request, as records of a keyed topic."""
+"""Records of server crashes, as stored in a keyed topic of the platform's log."""
 
 import dataclasses
 
@@ -12,42 +12,42 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CrashKey:
-    """One crash: a request, and the run of a server that ended under it."""
+    """The identity of a crash: the request and the incarnation of the server that ended."""
 
     fingerprint: str
-    """Of the request, whatever ids its attempts have."""
+    """Identifies the request by its content, whatever request ids its attempts have."""
     incarnation_hash: str
-    """A short name for the incarnation of the server."""
+    """The hash of the server's incarnation, in 16 hex digits."""
 
     @property
     def text(self) -> str:
-        """The key of its record."""
+        """The key of the crash's record in the topic."""
         return f"{self.fingerprint}{_SEPARATOR}{self.incarnation_hash}"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Crash:
-    """A server ended while it ran a request."""
+    """The end of a server while it was running a request."""
 
     key: CrashKey
     incarnation: str
     was_alone: bool
-    """Whether the process that saw it had no other request at that server."""
+    """Whether the process that recorded the crash had no other request at that server."""
 
 
 def create_crash(fingerprint: str, incarnation: str, was_alone: bool) -> Crash:
-    """Return the crash of a server under a request."""
+    """Create the crash of a server incarnation that was running a request."""
     run = f"{identifiers.hash_text(incarnation):016x}"
     return Crash(CrashKey(fingerprint, run), incarnation, was_alone)
 
 
 def encode_crash(crash: Crash) -> bytes:
-    """Return the value of a crash's record."""
+    """Encode the value of a crash's record as CBOR."""
     return cbor2.dumps([crash.incarnation, crash.was_alone])
 
 
 def decode_key(text: str) -> expression.Result[CrashKey, findings.Finding]:
-    """Return the crash that a key names; one of another writer is a finding."""
+    """Decode the key of a crash's record; a key of another form is a finding."""
     fingerprint, separator, run = text.partition(_SEPARATOR)
     if not (fingerprint and separator and run):
         return expression.Error(findings.Finding("crash", f"{text[:80]!r} is no key"))
@@ -55,7 +55,7 @@
 
 
 def decode_crash(key: CrashKey, value: bytes) -> expression.Result[Crash, findings.Finding]:
-    """Return the crash of a record; bytes of another writer are a finding."""
+    """Decode the value of a crash's record; a value of another form is a finding."""
     try:
         incarnation, was_alone = cbor2.loads(value)
     except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
