--- a/libs/claims/oleander_claims/__init__.py
+++ b/libs/claims/oleander_claims/__init__.py
@@ -1,4 +1,4 @@
-"""Who runs a non-repeatable request: decided by the order of records in the log."""
+"""Claims that decide, by the order of records in the log, who runs a non-repeatable request."""
 
 from oleander_claims import keys, log_health, records, shard, sharded_claims, table
 
--- a/libs/claims/oleander_claims/log_health.py
+++ b/libs/claims/oleander_claims/log_health.py
@@ -1,52 +1,54 @@
-"""Whether a claim would only wait for a log that is not answering."""
+"""Detection of log outages, during which claims are refused at once."""
 
 import threading
 
 from oleander_base import clock
 
 _HANG_SECONDS = 1.0
+"""How long an append may take before the log counts as hanging."""
 _RETRY_SECONDS = 0.2
+"""How long claims are refused after an append that failed quickly."""
 
 
 class LogHealth:
     """
-    Remembers how the last append went; safe to use from several threads.
+    Tracks the outcome of the last append of one stream; thread-safe.
 
-    In an outage each claim would wait for an append of its own to time out, which for most
-    callers is their whole deadline. After one append hung, claims of every stream are refused at
-    once until the log has answered a read, and reads go on all the time. One that failed quickly
-    is tried again soon.
+    In an outage each claim would wait for an append of its own to time out, which takes most
+    callers' whole deadline. After one append has hung, claims of every stream are refused at once
+    until the log answers a read; reads go on all the time. After an append that failed quickly,
+    claims are accepted again soon.
     """
 
     def __init__(self, append_hung: threading.Event) -> None:
-        """Create the health of one stream; that an append hung is shared by all of them."""
+        """Create the health of one stream; `append_hung` must be shared by all streams."""
         self._append_hangs_at: clock.Deadline | None = None
         self._failing_until: clock.Deadline | None = None
         self._append_hung = append_hung
 
     @property
     def is_failing(self) -> bool:
-        """Whether a claim would only wait; refusing it lets the caller come back sooner."""
+        """Whether to refuse claims, so that callers can retry sooner than after a timeout."""
         hangs_at, failing_until = self._append_hangs_at, self._failing_until
         if self._append_hung.is_set() or (hangs_at is not None and hangs_at.is_past):
             return True
         return failing_until is not None and not failing_until.is_past
 
     def record_append_start(self) -> None:
-        """Note that an append begins."""
+        """Record that an append starts."""
         self._append_hangs_at = clock.start_deadline(_HANG_SECONDS)
 
     def record_append_end(self) -> None:
-        """Note that the append's claims were decided."""
+        """Record that the claims of the append were decided."""
         self._append_hangs_at = None
 
     def record_append_failure(self) -> None:
-        """Note that the append failed, and its claims were not read back."""
+        """Record that the append failed and its claims were not read back."""
         self._failing_until = clock.start_deadline(_RETRY_SECONDS)
         if self._append_hangs_at is not None and self._append_hangs_at.is_past:
             self._append_hung.set()
         self._append_hangs_at = None
 
     def record_read(self) -> None:
-        """Note that the log answered a read."""
+        """Record that the log answered a read."""
         self._append_hung.clear()
--- a/libs/claims/oleander_claims/records.py
+++ b/libs/claims/oleander_claims/records.py
@@ -1,4 +1,4 @@
-"""The records of a claims stream."""
+"""The records of a claims stream, encoded as JSON."""
 
 import dataclasses
 import typing
@@ -8,24 +8,24 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Claim:
-    """A statement that one sidecar incarnation, and no other, may run a key's attempt."""
+    """A claim of a sidecar incarnation to be the only one to run an attempt of a key."""
 
     customer: str
     key: str
     digest: str
-    """Of the request's body, so that a key used for another body is noticed."""
+    """The digest of the request's body, which detects that a key is used for another body."""
     attempt: int
-    """1 for the first; a later one needs evidence that the one before it never ran."""
+    """1 for the first attempt; a later one needs evidence that the one before it never ran."""
     sidecar: str
     address: str
     incarnation: str
     nonce: str
-    """Tells the claimant's own record from another's."""
+    """A unique value by which the claimant recognises its own record."""
     evidence: str
-    """Why the attempt before can't have run; empty for the first."""
+    """Why the previous attempt can't have run; empty for the first."""
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the record's JSON form."""
+        """Return the record as a JSON object."""
         return {"kind": _KIND, **dataclasses.asdict(self)}
 
 
@@ -33,7 +33,7 @@
 
 
 def read_claim(value: dict[str, typing.Any]) -> Claim | None:
-    """Return the claim in a record, or nothing where another kind of record stands."""
+    """Return the claim in a record, or None if it is of another kind or has other fields."""
     if value.get("kind") != _KIND:
         return None
     fields = {name: value.get(name) for name in _FIELD_TYPES}
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LoggedClaim:
-    """A claim and where it stands in its stream."""
+    """A claim with its position in the log."""
 
     claim: Claim
     shard: int
     offset: int
     read_at: float = dataclasses.field(default=0.0, compare=False)
-    """When this process read it, in monotonic seconds; says only how fresh it is here."""
+    """When this process read the record, in monotonic seconds; differs between processes."""
--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -1,4 +1,4 @@
-"""One claims stream: appended to in groups, followed to its end, decided by its order."""
+"""One shard of the claims: appends to its stream in groups and decides by record order."""
 
 import concurrent.futures
 import contextlib
@@ -15,19 +15,28 @@
 
 _MAX_CLAIMS_PER_APPEND = 200
 _MAX_WAITING_CLAIMS = 2000
+"""Claims that wait for an append; further ones are refused."""
 _APPEND_SECONDS = 2.0
+"""The timeout of an append."""
 _READ_BACK_SECONDS = 0.5
+"""How long to wait for the records of an append without an answer to be read back."""
 _CATCH_UP_SECONDS = 0.5
+"""How long a claim waits for the stream to be read to its end after the start."""
 _DECISION_SECONDS = 5.0
+"""The longest time that a claim waits for its decision, whatever its deadline."""
 _READ_WAIT_MS = 1000
+"""How long the log holds a read open while there are no new records."""
 _READ_SECONDS = 2.0
+"""The timeout of a read, on top of the time that the log holds it open."""
 _RETRY_SECONDS = 0.2
+"""The pause after a failed read."""
 _OFFSET_BEYOND_END = 2**53
+"""An offset above any record's; reading there returns the bounds of the stream."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClaimError:
-    """The claim was not decided; the claimant must not act on it, now or later."""
+    """The claim was not decided, and the claimant must not act on it, now or later."""
 
     reason: str
     retry_after_ms: int
@@ -43,18 +52,18 @@
     decision: concurrent.futures.Future[ClaimResult]
 
     def resolve(self, result: ClaimResult) -> None:
-        """Tell the claimant; only the first result counts, and none once it has given up."""
+        """Set the claimant's result, unless it has one already or the claimant has given up."""
         with contextlib.suppress(concurrent.futures.InvalidStateError):
             self.decision.set_result(result)
 
 
 class ClaimShard:
     """
-    Decides claims by the order of one stream's records.
+    Decides claims by the order of the records in one stream.
 
-    A claimant acts only once its own record has been read back as the one in force. So an append
-    whose answer was lost, or that takes effect after its claimant gave up, does no harm: the
-    claimant is gone, and whoever comes next reads the record like any other's.
+    A claimant acts only after its own record was read back as the claim in force. So an append
+    whose answer was lost, or that takes effect after its claimant has given up, does no harm: the
+    claimant is gone, and the next one reads the record like any other claim.
     """
 
     def __init__(
@@ -82,17 +91,17 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the stream has been read to what was its end at start."""
+        """Whether the stream was read to the end that it had at the start."""
         return self._caught_up.is_set()
 
     @property
     def last_read_at(self) -> float:
-        """When the newest read that reached the stream's end began, in monotonic seconds."""
+        """When the last read that reached the stream's end began, in monotonic seconds."""
         return self._last_read_at
 
     @property
     def is_ready(self) -> bool:
-        """Whether the stream was read to its end, or can't be read now."""
+        """Whether the stream was read to its end or can't be read at present."""
         return self._caught_up.is_set() or self._read_failed
 
     def start(self) -> None:
@@ -101,15 +110,16 @@
         self._group.keep(self._append_groups)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
-        """Return the claim in force for a key, as far as the stream was read."""
+        """Return the claim in force for a key, as far as the stream was read, or None."""
         with self._lock:
             return self._table.find(customer, key)
 
     def propose(self, claim: records.Claim, deadline: clock.Deadline) -> ClaimResult:
         """
-        Append a claim and return the one in force, which may be another's.
+        Append a claim and return the one in force, which may be another one.
 
-        After an error the claimant must not act: its record may still come to stand in the log.
+        After an error the claimant must not act, since its record may still be appended to the
+        log later.
         """
         if not self._caught_up.wait(deadline.earlier(_CATCH_UP_SECONDS).remaining):
             return expression.Error(ClaimError("claims-unread", 1000))
@@ -144,7 +154,7 @@
                 self._append_group(group)
 
     def _collect_group(self) -> list[_Proposal]:
-        """Return what waits, so that claims that come together share one append."""
+        """Return the waiting claims, so that those that arrive together share one append."""
         try:
             group = [self._waiting.get(timeout=0.5)]
         except queue.Empty:
@@ -171,7 +181,7 @@
         self._health.record_append_end()
 
     def _are_read_back(self, group: list[_Proposal], error: logservice.LogError) -> bool:
-        """Wait a moment for claims whose append may have taken effect without an answer."""
+        """Return whether all claims of a failed append are decided, waiting if they may be."""
         futures = [item.decision for item in group]
         if error.may_have_effect:
             concurrent.futures.wait(futures, timeout=_READ_BACK_SECONDS)
@@ -179,10 +189,10 @@
 
     def _refuse_group(self, group: list[_Proposal], error: logservice.LogError) -> None:
         """
-        Refuse claims whose append failed, and those that have come to wait behind them.
+        Refuse claims whose append failed, and those that wait behind them.
 
-        The records may stand in the log all the same. That does no harm: these claimants give
-        up for good here, and nobody else acts on another's record without asking its sidecar.
+        The records may be in the log nevertheless. That does no harm: these claimants never act
+        on them, and no other process acts on a claim of another without asking its sidecar.
         """
         metrics.count(metrics.LOG_OUTAGES)
         log.warn_bounded("log-append-failed", f"{self._stream}: {error.detail}")
@@ -199,7 +209,7 @@
                 self._group.pause(_RETRY_SECONDS)
 
     def _find_start(self) -> bool:
-        """Start one window before the end: older claims are forgotten by everyone."""
+        """Set the start of reading one window before the end, since no process keeps more."""
         started_at = clock.read_now()
         page = self._service.read(
             self._stream, _OFFSET_BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
@@ -239,7 +249,7 @@
         log.warn_bounded("log-read-failed", f"{self._stream}: {error.detail}")
 
     def _skip_deleted(self, first_offset: int) -> None:
-        """Go on where the log still has records; what was deleted can't be decided here."""
+        """Skip deleted records and fail the waiting claims, which may have been among them."""
         log.warn_bounded(
             "claims-deleted",
             f"{self._stream}: records {self._next_offset} to {first_offset} were deleted before "
@@ -255,7 +265,7 @@
         invariants.require(
             record.offset >= self._next_offset,
             "claims-in-order",
-            f"{self._stream}: record {record.offset} came after {self._next_offset}",
+            f"{self._stream}: record {record.offset} was read after {self._next_offset}",
         )
         claim = records.read_claim(record.value)
         with self._lock:
--- a/libs/claims/oleander_claims/sharded_claims.py
+++ b/libs/claims/oleander_claims/sharded_claims.py
@@ -1,4 +1,4 @@
-"""All claims streams together: finds the stream of a key."""
+"""All claim shards together, with each key mapped to its shard."""
 
 import threading
 
@@ -7,10 +7,11 @@
 from oleander_platform import logservice
 
 TASKS_PER_SHARD = 2
+"""One task follows the shard's stream, one appends to it."""
 
 
 class ShardedClaims:
-    """Looks up and proposes claims, each in the stream that its key belongs to."""
+    """Looks up and proposes claims, each in the shard that its key belongs to."""
 
     def __init__(
         self, service: logservice.LogService, group: tasks.TaskGroup, shards: int, window: int
@@ -23,24 +24,24 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether claims are decided as well as they can be: all read, or the log is down."""
+        """Whether each stream was read to its end or can't be read at present."""
         return all(item.is_ready for item in self._shards)
 
     def start(self) -> None:
-        """Start following every stream."""
+        """Start the tasks of every shard."""
         for item in self._shards:
             item.start()
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
-        """Return the claim in force for a key, as far as its stream was read."""
+        """Return the claim in force for a key, as far as its stream was read, or None."""
         return self._find_shard(customer, key).find(customer, key)
 
     def find_last_read_time(self, customer: str, key: str) -> float:
-        """Return when the newest whole read of a key's stream began, in monotonic seconds."""
+        """Return when the last read to the end of a key's stream began, in monotonic seconds."""
         return self._find_shard(customer, key).last_read_at
 
     def propose(self, claim: records.Claim, deadline: clock.Deadline) -> shard.ClaimResult:
-        """Append a claim and return the one in force for its key, which may be another's."""
+        """Append a claim and return the one in force for its key, which may be another one."""
         return self._find_shard(claim.customer, claim.key).propose(claim, deadline)
 
     def _find_shard(self, customer: str, key: str) -> shard.ClaimShard:
--- a/libs/claims/oleander_claims/table.py
+++ b/libs/claims/oleander_claims/table.py
@@ -1,4 +1,4 @@
-"""The claims in force of one stream, folded from its records."""
+"""The table of claims in force, computed from the records of one stream."""
 
 import collections
 
@@ -8,10 +8,10 @@
 
 class ClaimTable:
     """
-    The claims in force: for each key the first record of its newest attempt.
+    Holds the claim in force for each key, which is the first record of its newest attempt.
 
-    Every process that folds the same records has the same table. It holds the claims of the
-    newest `window` records; what is older is forgotten by offset, the same on every host.
+    Every process that applies the same records has the same table. It holds the claims among the
+    newest `window` records. Older ones are evicted by offset, so every host evicts the same.
     """
 
     def __init__(self, shard: int, window: int) -> None:
@@ -22,15 +22,15 @@
         )
 
     def __len__(self) -> int:
-        """Return how many keys are held."""
+        """Return the number of keys with a claim in force."""
         return len(self._in_force)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
-        """Return the claim in force for a key."""
+        """Return the claim in force for a key, or None."""
         return self._in_force.get((customer, key))
 
     def apply(self, offset: int, claim: records.Claim) -> records.LoggedClaim:
-        """Take in the next record; return the claim that is in force for its key."""
+        """Apply the next record and return the claim that is then in force for its key."""
         self._evict_before(offset - self._window)
         name = (claim.customer, claim.key)
         current = self._in_force.get(name)
