--- a/features/steps/order_rights_steps.py
+++ b/features/steps/order_rights_steps.py
@@ -50,7 +50,7 @@
             name, action = word.split(".")
             self._actions[action](name)
         elif word.endswith("+"):
-            self._rights[word[0]].try_hold(0)
+            self._rights[word[0]].acquire_or_renew(0)
             self._look()
         else:
             self._look()
@@ -71,7 +71,7 @@
         for name, held in self._rights.items():
             tenure = held.find_tenure()
             if tenure is not None:
-                self.permissions.append((self.now, name, tenure.fencing, held.name))
+                self.permissions.append((self.now, name, tenure.fencing_token, held.name))
 
 
 @behave.given("the order holders {names}")
--- a/libs/leases/oleander_leases/lease.py
+++ b/libs/leases/oleander_leases/lease.py
@@ -19,7 +19,7 @@
 """A silent connection is given up well within the term and the gap."""
 _APPEND_SECONDS = 0.7
 """Below the time between renewals: one that hangs leaves time for two more in the term."""
-_AGAIN_SECONDS = 0.2
+_RETRY_SECONDS = 0.2
 """Between tries while the log does not answer."""
 _RELEASED = "released"
 _HELD = "held"
@@ -29,20 +29,20 @@
 class Tenure:
     """The permission to act until a deadline."""
 
-    fencing: int
+    fencing_token: int
     """The offset of the record that began it; those of later holders are all higher."""
     deadline: clock.Deadline
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Entry:
+class _LeaseRecord:
     """The newest record of the partition."""
 
     holder: str
     host: str
     state: str
-    fencing: int
-    seen_at: float
+    fencing_token: int
+    read_at: float
 
 
 class FencedLease:
@@ -79,8 +79,8 @@
         self._gap_seconds = gap_seconds + _GAP_MARGIN_SECONDS
         self._lock = threading.Lock()
         self._next_offset = 0
-        self._newest: _Entry | None = None
-        self._is_read = False
+        self._newest_record: _LeaseRecord | None = None
+        self._has_read_all = False
         self._tenure: Tenure | None = None
         self._is_wanted = True
 
@@ -95,9 +95,9 @@
         return TERM_SECONDS + self._gap_seconds
 
     @property
-    def was_held_last(self) -> bool:
+    def was_last_holder(self) -> bool:
         """Whether this host wrote the newest record known here, and did not give the lease up."""
-        newest = self._newest
+        newest = self._newest_record
         return newest is not None and newest.host == self._host and newest.state == _HELD
 
     @property
@@ -111,13 +111,13 @@
             tenure = self._tenure
         return None if tenure is None or tenure.deadline.is_past else tenure
 
-    def try_hold(self, wait_ms: int) -> float:
+    def acquire_or_renew(self, wait_ms: int) -> float:
         """Renew the lease, or read on and claim it where it is free; return when to try again."""
         if self.find_tenure() is not None:
             self._renew()
             return _RENEW_SECONDS
-        if not self._read_on(wait_ms):
-            return _AGAIN_SECONDS
+        if not self._read_new_records(wait_ms):
+            return _RETRY_SECONDS
         if self._is_free():
             self._claim()
         return 0.0
@@ -128,16 +128,16 @@
         with self._lock:
             tenure, self._tenure = self._tenure, None
         if tenure is not None and not tenure.deadline.is_past:
-            self._append(_RELEASED, tenure.fencing)
+            self._append(_RELEASED, tenure.fencing_token)
 
     def _is_free(self) -> bool:
-        newest = self._newest
-        if not self._is_read:
+        newest = self._newest_record
+        if not self._has_read_all:
             return False
         if newest is None or newest.host == self._host:
             return True
         wait = self._gap_seconds + (TERM_SECONDS if newest.state == _HELD else 0.0)
-        return clock.read_now() - newest.seen_at > wait
+        return clock.read_now() - newest.read_at > wait
 
     def _claim(self) -> None:
         started_at = clock.read_now()
@@ -160,47 +160,51 @@
         if tenure is None:
             return
         started_at = clock.read_now()
-        if self._append(_HELD, tenure.fencing) is None:
+        if self._append(_HELD, tenure.fencing_token) is None:
             return
         with self._lock:
             if self._tenure is not None:
                 deadline = clock.Deadline(started_at + TERM_SECONDS)
-                self._tenure = Tenure(tenure.fencing, deadline)
+                self._tenure = Tenure(tenure.fencing_token, deadline)
 
-    def _append(self, state: str, fencing: int) -> int | None:
+    def _append(self, state: str, fencing_token: int) -> int | None:
         """Append where the partition ends as read; return the offset once it is confirmed."""
-        content = cbor2.dumps([self._name, self._host, state, fencing])
+        content = cbor2.dumps([self._name, self._host, state, fencing_token])
         deadline = clock.start_deadline(_APPEND_SECONDS)
         offset = self._next_offset
         appended = self._log.append_at(self._topic, self._partition, [content], offset, deadline)
         if appended.is_ok():
             self._next_offset = offset + 1
-            self._newest = _Entry(self._name, self._host, state, fencing, clock.read_now())
+            self._newest_record = _LeaseRecord(
+                self._name, self._host, state, fencing_token, clock.read_now()
+            )
             return offset
         log.warn_bounded("lease-unconfirmed", str(appended.error), topic=self._topic, state=state)
-        self._read_on(0)
+        self._read_new_records(0)
         return None
 
-    def _read_on(self, wait_ms: int) -> bool:
+    def _read_new_records(self, wait_ms: int) -> bool:
         deadline = clock.start_deadline(_READ_SECONDS)
-        wait_ms = wait_ms if self._is_read else 0
+        wait_ms = wait_ms if self._has_read_all else 0
         page = self._log.read(self._topic, self._partition, self._next_offset, wait_ms, deadline)
         if page.is_error():
             log.warn_bounded("lease-unread", page.error.detail, topic=self._topic)
             return False
         for record in page.ok.records:
-            self._take(record)
+            self._apply(record)
         self._next_offset = max(self._next_offset, page.ok.next_offset)
-        self._is_read = self._next_offset >= page.ok.end_offset
+        self._has_read_all = self._next_offset >= page.ok.end_offset
         return True
 
-    def _take(self, record: recordlog.RawRecord) -> None:
+    def _apply(self, record: recordlog.RawRecord) -> None:
         """Take in a record; one that can't be read counts as held, the careful way."""
         try:
-            holder, host, state, fencing = cbor2.loads(record.content)
+            holder, host, state, fencing_token = cbor2.loads(record.content)
         except (cbor2.CBORDecodeError, ValueError, TypeError):
-            holder, host, state, fencing = "", "", _HELD, record.offset
-        self._newest = _Entry(str(holder), str(host), str(state), record.offset, clock.read_now())
+            holder, host, state, fencing_token = "", "", _HELD, record.offset
+        self._newest_record = _LeaseRecord(
+            str(holder), str(host), str(state), record.offset, clock.read_now()
+        )
         if holder == self._name:
             return
         with self._lock:
@@ -211,5 +215,5 @@
                 topic=self._topic,
                 holder=holder,
                 partition=self._partition,
-                fencing=fencing,
+                fencing=fencing_token,
             ).warning("taken")
--- a/libs/orders/oleander_orders/order_leases.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -88,6 +88,6 @@
         while not self._group.is_stopping and lease_.is_wanted:
             if partition not in self._wanted_partitions and lease_.find_tenure() is None:
                 break
-            self._group.pause(lease_.try_hold(0) or _POLL_SECONDS)
+            self._group.pause(lease_.acquire_or_renew(0) or _POLL_SECONDS)
         with self._lock:
             self._leases.pop(partition, None)
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -113,8 +113,8 @@
         process has to wait for the term and the gap, and windows would be late.
         """
         pause = 0.0
-        if self._ownership.owns(_PARTITION) or self._lease.was_held_last:
-            pause = self._lease.try_hold(0)
+        if self._ownership.owns(_PARTITION) or self._lease.was_last_holder:
+            pause = self._lease.acquire_or_renew(0)
         return pause or _LEASE_LOOK_SECONDS
 
     def report(self) -> None:
@@ -195,7 +195,7 @@
         tenure = self._find_tenure()
         if tenure is None:
             return False
-        holder = platform.DutyHolder(self._settings.holder, tenure.fencing)
+        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_token)
         deadline = tenure.deadline.earlier(_CALL_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
@@ -203,7 +203,7 @@
             window=report.window,
             organisations=len(report.counts),
             requests=sum(report.counts.values()),
-            fencing=tenure.fencing,
+            fencing=tenure.fencing_token,
             tenure_left_ms=tenure.deadline.remaining_ms,
         ).info(str(outcome))
         metrics.count(metrics.USAGE_REPORTS)
