--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -50,7 +50,7 @@
         if site.lost_answers:
             site.lost_answers -= 1
             return platform.DutyUnknown("no answer")
-        return platform.DutyDone()
+        return platform.DutyAccepted()
 
 
 class Process:
@@ -116,7 +116,7 @@
         return min(reachable, default=None)
 
     def take(self, name, report, holder):
-        self.told.append((self.now, name, report, holder.fencing))
+        self.told.append((self.now, name, report, holder.fencing_token))
 
     def act(self, word):
         if word.endswith("s") and word[0].isdigit():
@@ -168,7 +168,7 @@
             if action == "begin":
                 counted.append(counter.add(organisation))
             else:
-                counter.take_back(counted.pop())
+                counter.undo(counted.pop())
 
     def _arrive(self, name):
         """Let calls arrive that were held up on their way."""
@@ -257,7 +257,7 @@
 
 @behave.then("{count:d} requests of red are counted")
 def check_counted(context, count):
-    taken = context.counter.take()
+    taken = context.counter.take_counts()
     assert sum(names.get("red", 0) for names in taken.values()) == count, taken
 
 
@@ -277,7 +277,7 @@
 
 @behave.then("the counts of the newest {count:d} windows are kept")
 def check_bounded(context, count):
-    kept = sorted(context.counter.take())
+    kept = sorted(context.counter.take_counts())
     assert kept == list(range(context.windows - count, context.windows)), kept
 
 
--- a/libs/direct/oleander_direct/attempts.py
+++ b/libs/direct/oleander_direct/attempts.py
@@ -82,7 +82,7 @@
         counted = self._counter.add(organisation)
         result = self._call_server(server, request, deadline, is_cancelled)
         if not _may_have_started(result):
-            self._counter.take_back(counted)
+            self._counter.undo(counted)
         return result
 
     def _call_server(
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -21,12 +21,12 @@
     """In whose name a duty is done."""
 
     name: str
-    fencing: int
+    fencing_token: int
     """Grows when the holder changes."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class DutyDone:
+class DutyAccepted:
     """The platform took the call."""
 
 
@@ -44,7 +44,7 @@
     detail: str
 
 
-DutyOutcome = DutyDone | DutyRejected | DutyUnknown
+DutyOutcome = DutyAccepted | DutyRejected | DutyUnknown
 
 
 class DutyPlatform(abc.ABC):
--- a/libs/duties/oleander_duties/usage.py
+++ b/libs/duties/oleander_duties/usage.py
@@ -7,7 +7,7 @@
 
 from oleander_base import clock, log
 
-_MOST_WINDOWS = 64
+_MAX_WINDOWS = 64
 """Windows with counts that nobody took; past this the oldest is dropped."""
 
 
@@ -40,14 +40,14 @@
     def add(self, organisation: str) -> CountedRequest:
         """Count a request that is sent now."""
         counted = CountedRequest(organisation, self._read_wall_ms() // self._window_ms)
-        self._change(counted, 1)
+        self._adjust(counted, 1)
         return counted
 
-    def take_back(self, counted: CountedRequest) -> None:
+    def undo(self, counted: CountedRequest) -> None:
         """Count a request no longer: it did not begin."""
-        self._change(counted, -1)
+        self._adjust(counted, -1)
 
-    def take(self) -> dict[int, dict[str, int]]:
+    def take_counts(self) -> dict[int, dict[str, int]]:
         """Return what was counted since the last call, by window; taken back is below zero."""
         with self._lock:
             counts, self._counts = self._counts, {}
@@ -57,12 +57,12 @@
         }
         return {window: names for window, names in changed.items() if names}
 
-    def _change(self, counted: CountedRequest, change: int) -> None:
+    def _adjust(self, counted: CountedRequest, difference: int) -> None:
         with self._lock:
             names = self._counts.setdefault(counted.window, collections.Counter())
-            names[counted.organisation] += change
+            names[counted.organisation] += difference
             dropped = None
-            if len(self._counts) > _MOST_WINDOWS:
+            if len(self._counts) > _MAX_WINDOWS:
                 dropped = self._counts.pop(min(self._counts))
         if dropped is not None:
             log.warn_bounded("usage-dropped", "too many windows wait", counts=dropped.total())
--- a/libs/duties/oleander_duties/usage_fold.py
+++ b/libs/duties/oleander_duties/usage_totals.py
@@ -4,13 +4,13 @@
 
 from oleander_duties import usage_records
 
-MOST_WINDOWS = 64
+MAX_WINDOWS = 64
 """Windows that are remembered; older ones are neither reported nor repeated any more."""
-_MOST_SOURCES = 8192
+_MAX_SOURCES = 8192
 """Past this the source that was heard first is forgotten; its repeats would count again."""
 
 
-class UsageFold:
+class UsageTotals:
     """Sums what processes counted, and keeps what is reported of each window; not thread-safe."""
 
     def __init__(self) -> None:
@@ -19,12 +19,12 @@
         self._sequences: dict[str, int] = {}
 
     @property
-    def newest_reported(self) -> int | None:
+    def newest_reported_window(self) -> int | None:
         """The newest window with a report."""
         return max(self._reports, default=None)
 
     @property
-    def oldest_counted(self) -> int | None:
+    def oldest_counted_window(self) -> int | None:
         """The oldest window in which any process counted."""
         return min(self._sums, default=None)
 
@@ -41,7 +41,7 @@
         """Take in the next record."""
         if isinstance(record, usage_records.Reported):
             self._reports.setdefault(record.window, record.counts)
-            _forget_old(self._reports)
+            _evict_oldest(self._reports)
         else:
             self._add(record)
 
@@ -50,13 +50,15 @@
         if record.sequence <= self._sequences.pop(record.source, -1):
             return
         self._sequences[record.source] = record.sequence
-        while len(self._sequences) > _MOST_SOURCES:
+        while len(self._sequences) > _MAX_SOURCES:
             self._sequences.pop(next(iter(self._sequences)))
         for window, names in record.counts.items():
             self._sums.setdefault(window, collections.Counter()).update(names)
-        _forget_old(self._sums)
+        _evict_oldest(self._sums)
 
 
-def _forget_old(windows: dict[int, collections.Counter[str]] | dict[int, dict[str, int]]) -> None:
-    while len(windows) > MOST_WINDOWS:
+def _evict_oldest(
+    windows: dict[int, collections.Counter[str]] | dict[int, dict[str, int]],
+) -> None:
+    while len(windows) > MAX_WINDOWS:
         del windows[min(windows)]
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -4,7 +4,7 @@
 import threading
 
 from oleander_base import clock, identifiers, log, metrics, tasks
-from oleander_duties import platform, usage, usage_fold, usage_records
+from oleander_duties import platform, usage, usage_records, usage_totals
 from oleander_leases import lease
 from oleander_platform import recordlog
 from oleanderdeal import ownership
@@ -71,7 +71,7 @@
         self._flush_lock = threading.Lock()
         self._sequence = 0
         self._unconfirmed: dict[int, dict[str, int]] = {}
-        self._fold = usage_fold.UsageFold()
+        self._fold = usage_totals.UsageTotals()
         self._next_offset = 0
         self._settled_at = 0.0
         self._next_window: int | None = None
@@ -90,7 +90,7 @@
         """
         with self._flush_lock:
             if not self._unconfirmed:
-                self._unconfirmed = self._counter.take()
+                self._unconfirmed = self._counter.take_counts()
                 self._sequence += 1
             if not self._unconfirmed:
                 return True
@@ -160,18 +160,18 @@
         """
         now = clock.read_wall_ms() // self._settings.window_ms
         unsettled = (clock.read_wall_ms() - self._wait_ms) // self._settings.window_ms
-        reported = self._fold.newest_reported
+        reported = self._fold.newest_reported_window
         if reported is not None:
-            return max(now - usage_fold.MOST_WINDOWS, reported + 1 - _REPEATED_WINDOWS)
-        counted = self._fold.oldest_counted
+            return max(now - usage_totals.MAX_WINDOWS, reported + 1 - _REPEATED_WINDOWS)
+        counted = self._fold.oldest_counted_window
         oldest = unsettled if counted is None else min(unsettled, counted)
-        return max(now - usage_fold.MOST_WINDOWS, oldest)
+        return max(now - usage_totals.MAX_WINDOWS, oldest)
 
     def _report_window(self, window: int) -> bool:
         """Report one window; return whether it is settled."""
         counts = self._fold.find_report(window)
         if counts is None:
-            newest = self._fold.newest_reported
+            newest = self._fold.newest_reported_window
             if newest is not None and window <= newest:
                 return True
             if not self._decide(window):
