--- a/libs/leases/oleander_leases/__init__.py
+++ b/libs/leases/oleander_leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases with fencing numbers, kept in the platform's log."""
+"""Leases with fencing tokens, stored in the platform's log."""
 
 from oleander_leases import lease
 
--- a/libs/leases/oleander_leases/lease.py
+++ b/libs/leases/oleander_leases/lease.py
@@ -1,4 +1,4 @@
-"""A lease with fencing numbers, held by one process at a time."""
+"""A lease with fencing tokens that at most one process holds at a time."""
 
 import dataclasses
 import threading
@@ -9,34 +9,37 @@
 from oleander_platform import recordlog
 
 TERM_SECONDS = 2.5
-"""How long a confirmed record lets its writer act; longer than several renewals, so that a lost
-answer does not end it."""
+"""
+How long a confirmed record allows its writer to act.
+
+It spans several renewals, so that one lost answer does not end the lease.
+"""
 _RENEW_SECONDS = 0.8
-"""Between renewals."""
+"""The interval between renewals."""
 _GAP_MARGIN_SECONDS = 0.5
-"""On top of the required gap, for calls on their way when the term ended."""
+"""Added to the required gap for calls that are in flight when the term ends."""
 _READ_SECONDS = 1.4
-"""A silent connection is given up well within the term and the gap."""
+"""The timeout of a read, well below the term and the gap together."""
 _APPEND_SECONDS = 0.7
-"""Below the time between renewals: one that hangs leaves time for two more in the term."""
+"""The timeout of an append, below the renewal interval: two more fit into the term after it."""
 _RETRY_SECONDS = 0.2
-"""Between tries while the log does not answer."""
+"""The pause between attempts while the log does not answer."""
 _RELEASED = "released"
 _HELD = "held"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Tenure:
-    """The permission to act until a deadline."""
+    """The permission to act as the holder until a deadline."""
 
     fencing_token: int
-    """The offset of the record that began it; those of later holders are all higher."""
+    """The offset of the record that started the tenure; later holders have higher ones."""
     deadline: clock.Deadline
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _LeaseRecord:
-    """The newest record of the partition."""
+    """The newest record of the lease's partition."""
 
     holder: str
     host: str
@@ -47,18 +50,20 @@
 
 class FencedLease:
     """
-    Held by whoever wrote the newest record, until a deadline counted from before it was written.
-
-    A holder may be suspended, cut off, or its partition dealt to another process while it goes on
-    believing that it holds the lease; whoever it calls then hears from two holders and can't tell
-    which is the newer. Here a successor appends its claim only where the log still ends at the
-    last record that it has read, after that record is older, by its own clock, than the whole
-    term and the gap that must lie between two holders. The earlier holder's deadline, counted
-    by its own clock from before its last confirmed append, has passed by then however late
-    that append took effect: an append that was delayed fails its condition or restarts the wait.
-
-    A process that starts again on the holder's own host need not wait: a host runs one of them at
-    a time, and those who are called take one host for one holder. Else nobody could act for six
+    A lease held by the writer of the partition's newest record, until its term has passed.
+
+    A holder may be suspended, disconnected, or replaced as the owner of its partition, and still
+    believe that it holds the lease. Servers would then be called by two holders and could not
+    tell which is the newer. Therefore a successor waits until the last record that it has read is
+    older, by its own clock, than the term plus the gap that is required between two holders. It
+    then appends its claim on the condition that the log still ends at that record.
+
+    The earlier holder counts its deadline by its own clock from before its last confirmed append,
+    so the deadline has passed by then, however late that append took effect: a delayed append
+    either fails its condition or restarts the successor's wait.
+
+    A process that restarts on the holder's host need not wait: a host runs one such process at a
+    time, and servers treat a host as one holder. If it had to wait, no process could act for six
     seconds after all processes were restarted.
     """
 
@@ -70,7 +75,12 @@
         gap_seconds: float,
         partition: int = 0,
     ) -> None:
-        """Take what names this host alone, and the gap between the acts of two holders."""
+        """
+        Create a lease that is not held yet.
+
+        `host` must be unique to this host. `gap_seconds` is the time that must pass between the
+        last action of one holder and the first action of the next.
+        """
         self._log = log_service
         self._topic = topic
         self._host = host
@@ -86,33 +96,33 @@
 
     @property
     def name(self) -> str:
-        """The name of this holder; each run of a process has its own."""
+        """The name of this holder, unique to the process."""
         return self._name
 
     @property
     def takeover_seconds(self) -> float:
-        """How long nobody holds the lease at most after its holder was lost."""
+        """The longest time without a holder after the last one was lost, in seconds."""
         return TERM_SECONDS + self._gap_seconds
 
     @property
     def was_last_holder(self) -> bool:
-        """Whether this host wrote the newest record known here, and did not give the lease up."""
+        """Whether the newest known record is this host's and does not release the lease."""
         newest = self._newest_record
         return newest is not None and newest.host == self._host and newest.state == _HELD
 
     @property
     def is_wanted(self) -> bool:
-        """Whether it was not given up."""
+        """Whether `release` has not been called."""
         return self._is_wanted
 
     def find_tenure(self) -> Tenure | None:
-        """Return the permission to act now, if this process has it."""
+        """Return the tenure if this process holds the lease now, else None."""
         with self._lock:
             tenure = self._tenure
         return None if tenure is None or tenure.deadline.is_past else tenure
 
     def acquire_or_renew(self, wait_ms: int) -> float:
-        """Renew the lease, or read on and claim it where it is free; return when to try again."""
+        """Renew the lease or claim it if it is free; return the seconds until the next attempt."""
         if self.find_tenure() is not None:
             self._renew()
             return _RENEW_SECONDS
@@ -123,7 +133,7 @@
         return 0.0
 
     def release(self) -> None:
-        """Give the lease up, once no call is on its way; the gap still has to pass."""
+        """Release the lease; no call may be in flight. The next holder still waits for the gap."""
         self._is_wanted = False
         with self._lock:
             tenure, self._tenure = self._tenure, None
@@ -168,7 +178,7 @@
                 self._tenure = Tenure(tenure.fencing_token, deadline)
 
     def _append(self, state: str, fencing_token: int) -> int | None:
-        """Append where the partition ends as read; return the offset once it is confirmed."""
+        """Append at the end of the partition as read; return the offset, None if unconfirmed."""
         content = cbor2.dumps([self._name, self._host, state, fencing_token])
         deadline = clock.start_deadline(_APPEND_SECONDS)
         offset = self._next_offset
@@ -197,7 +207,7 @@
         return True
 
     def _apply(self, record: recordlog.RawRecord) -> None:
-        """Take in a record; one that can't be read counts as held, the careful way."""
+        """Apply a record; one that can't be decoded counts as held, to be on the safe side."""
         try:
             holder, host, state, fencing_token = cbor2.loads(record.content)
         except (cbor2.CBORDecodeError, ValueError, TypeError):
