--- a/libs/duties/oleander_duties/__init__.py
+++ b/libs/duties/oleander_duties/__init__.py
@@ -1,4 +1,4 @@
-"""Duties towards the platform that one process does at a time: reports of use."""
+"""Duties towards the platform that one process performs at a time, such as usage reports."""
 
 from oleander_duties import platform, usage, usage_records, usage_totals
 
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -1,4 +1,4 @@
-"""What the holder of a duty may tell the platform."""
+"""The interface for the calls that the holder of a duty makes to the platform."""
 
 import abc
 import collections.abc
@@ -9,37 +9,38 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class UsageReport:
-    """How many requests of each organisation began in one window of true time."""
+    """How many requests of each organisation started in one window of wall-clock time."""
 
     window: int
-    """Its number: it begins so many window lengths after the start of 1970."""
+    """The number of whole windows between the Unix epoch and the start of this one."""
     counts: collections.abc.Mapping[str, int]
+    """The number of requests by organisation."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DutyHolder:
-    """In whose name a duty is done."""
+    """The identification of a duty's holder in calls to the platform."""
 
     name: str
     fencing_token: int
-    """Grows when the holder changes."""
+    """Increases whenever the holder changes, so that calls of an earlier one are rejected."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DutyAccepted:
-    """The platform took the call."""
+    """The platform accepted the call."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DutyRejected:
-    """The platform will not take this call, now or later."""
+    """The platform rejected the call and would reject it again."""
 
     detail: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class DutyUnknown:
-    """The platform may have taken the call; the same call may be repeated."""
+    """The platform may have accepted the call; the same call may be repeated."""
 
     detail: str
 
@@ -48,10 +49,10 @@
 
 
 class DutyPlatform(abc.ABC):
-    """Reaches what the duties are done for."""
+    """The interface for calling the platform."""
 
     @abc.abstractmethod
     def report_usage(
         self, report: UsageReport, holder: DutyHolder, deadline: clock.Deadline
     ) -> DutyOutcome:
-        """Report one window; an exact repeat changes nothing."""
+        """Report the usage of one window; an exact repetition has no effect."""
--- a/libs/duties/oleander_duties/usage.py
+++ b/libs/duties/oleander_duties/usage.py
@@ -1,4 +1,4 @@
-"""Counts the requests that began, by organisation and window of true time."""
+"""Counters of started requests by organisation and window of wall-clock time."""
 
 import collections
 import collections.abc
@@ -8,12 +8,16 @@
 from oleander_base import clock, log
 
 _MAX_WINDOWS = 64
-"""Windows with counts that nobody took; past this the oldest is dropped."""
+"""
+How many windows may have counts that were not taken.
+
+When there are more, the oldest window is dropped.
+"""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CountedRequest:
-    """A request that was counted, so that it can be taken back."""
+    """A request that was counted, with the window to undo it in."""
 
     organisation: str
     window: int
@@ -21,10 +25,10 @@
 
 class UsageCounter:
     """
-    Counts what this process began and nobody took yet; thread-safe.
+    Counts the requests that this process started since the counts were last taken; thread-safe.
 
-    A request is counted when it is sent, since its window may be reported while it still runs; one
-    that the server turned away is taken back, in the same window.
+    A request is counted when it is sent, since its window may be reported while it still runs. If
+    the server refuses it, the count is undone in the same window.
     """
 
     def __init__(
@@ -38,17 +42,21 @@
         self._counts: dict[int, collections.Counter[str]] = {}
 
     def add(self, organisation: str) -> CountedRequest:
-        """Count a request that is sent now."""
+        """Count a request that is being sent now."""
         counted = CountedRequest(organisation, self._read_wall_ms() // self._window_ms)
         self._adjust(counted, 1)
         return counted
 
     def undo(self, counted: CountedRequest) -> None:
-        """Count a request no longer: it did not begin."""
+        """Undo the count of a request that did not start."""
         self._adjust(counted, -1)
 
     def take_counts(self) -> dict[int, dict[str, int]]:
-        """Return what was counted since the last call, by window; taken back is below zero."""
+        """
+        Return and reset the counts by window and organisation.
+
+        A count is negative if a request was counted before the last call and undone after it.
+        """
         with self._lock:
             counts, self._counts = self._counts, {}
         changed = {
@@ -65,4 +73,6 @@
             if len(self._counts) > _MAX_WINDOWS:
                 dropped = self._counts.pop(min(self._counts))
         if dropped is not None:
-            log.warn_bounded("usage-dropped", "too many windows wait", counts=dropped.total())
+            log.warn_bounded(
+                "usage-dropped", "too many windows are waiting", counts=dropped.total()
+            )
--- a/libs/duties/oleander_duties/usage_records.py
+++ b/libs/duties/oleander_duties/usage_records.py
@@ -1,4 +1,4 @@
-"""Records of use in the platform's log."""
+"""Usage records in the platform's log, encoded as CBOR."""
 
 import dataclasses
 import typing
@@ -14,19 +14,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Counted:
-    """What one process counted since its last record."""
+    """The requests that one process counted since its previous record."""
 
     source: str
-    """One run of a process."""
+    """The process incarnation that counted them."""
     sequence: int
-    """Grows with each record of a source; one that was appended twice counts once."""
+    """Increases with each record of a source, so that one appended twice is counted once."""
     counts: dict[int, dict[str, int]]
-    """By window, then by organisation; below zero for what was taken back."""
+    """The counts by window, then by organisation; negative for requests that were undone."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Reported:
-    """What the platform is told of a window; only the first record of a window counts."""
+    """The report of a window to the platform; only the first record of a window is valid."""
 
     window: int
     counts: dict[str, int]
@@ -36,14 +36,14 @@
 
 
 def encode_record(record: UsageRecord) -> bytes:
-    """Return a record's bytes."""
+    """Encode a record as CBOR."""
     if isinstance(record, Counted):
         return cbor2.dumps([_COUNTED, record.source, record.sequence, record.counts])
     return cbor2.dumps([_REPORTED, record.window, record.counts])
 
 
 def decode_record(content: bytes) -> expression.Result[UsageRecord, findings.Finding]:
-    """Return the record of some bytes; those of another writer are a finding."""
+    """Decode a record; content of another form is a finding."""
     try:
         kind, *fields = cbor2.loads(content)
         return expression.Ok(_build(kind, fields))
--- a/libs/duties/oleander_duties/usage_totals.py
+++ b/libs/duties/oleander_duties/usage_totals.py
@@ -1,17 +1,26 @@
-"""What the log says of each window of use, the same for every process that has read as far."""
+"""Usage totals by window, computed from the records in the log."""
 
 import collections
 
 from oleander_duties import usage_records
 
 MAX_WINDOWS = 64
-"""Windows that are remembered; older ones are neither reported nor repeated any more."""
+"""How many windows are kept; older ones are neither reported nor reported again."""
 _MAX_SOURCES = 8192
-"""Past this the source that was heard first is forgotten; its repeats would count again."""
+"""
+How many sources are kept to detect repeated records.
+
+When there are more, the one whose last record is the oldest is evicted. Repetitions of its
+records would be counted again.
+"""
 
 
 class UsageTotals:
-    """Sums what processes counted, and keeps what is reported of each window; not thread-safe."""
+    """
+    Sums the counts of all processes, and keeps the report of each window; not thread-safe.
+
+    All processes that have applied the same records have the same totals.
+    """
 
     def __init__(self) -> None:
         self._sums: dict[int, collections.Counter[str]] = {}
@@ -20,25 +29,25 @@
 
     @property
     def newest_reported_window(self) -> int | None:
-        """The newest window with a report."""
+        """The newest window with a report, or None."""
         return max(self._reports, default=None)
 
     @property
     def oldest_counted_window(self) -> int | None:
-        """The oldest window in which any process counted."""
+        """The oldest window in which any process counted requests, or None."""
         return min(self._sums, default=None)
 
     def find_report(self, window: int) -> dict[str, int] | None:
-        """Return what is reported of a window, whoever decided it."""
+        """Return the report of a window, whichever process decided it, or None."""
         return self._reports.get(window)
 
     def sum_window(self, window: int) -> dict[str, int]:
-        """Return what all processes counted in a window, as far as known."""
+        """Return the known counts of all processes in a window, by organisation."""
         names: dict[str, int] = dict(self._sums.get(window, {}))
         return {name: count for name, count in sorted(names.items()) if count > 0}
 
     def apply(self, record: usage_records.UsageRecord) -> None:
-        """Take in the next record."""
+        """Apply the next record of the log."""
         if isinstance(record, usage_records.Reported):
             self._reports.setdefault(record.window, record.counts)
             _evict_oldest(self._reports)
@@ -46,7 +55,7 @@
             self._add(record)
 
     def _add(self, record: usage_records.Counted) -> None:
-        """Add up a record, unless it is a repeat: an append without an answer is tried again."""
+        """Add a record's counts unless it is a repetition, as after an unanswered append."""
         if record.sequence <= self._sequences.pop(record.source, -1):
             return
         self._sequences[record.source] = record.sequence
