--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -1,4 +1,4 @@
-"""One claims stream: appended to in groups, followed to its end, decided by its order."""
+"""One shard of the claims: appends to its stream in groups and decides by record order."""
 
 import concurrent.futures
 import contextlib
@@ -13,21 +13,30 @@
 from oleander_claims import log_health, records, table
 from oleander_platform import logservice
 
-_MOST_IN_APPEND = 200
-_MOST_WAITING = 2000
+_MAX_CLAIMS_PER_APPEND = 200
+_MAX_WAITING_CLAIMS = 2000
+"""Claims that wait for an append; further ones are refused."""
 _APPEND_SECONDS = 2.0
+"""The timeout of an append."""
 _READ_BACK_SECONDS = 0.5
+"""How long to wait for the records of an append without an answer to be read back."""
 _CATCH_UP_SECONDS = 0.5
+"""How long a claim waits for the stream to be read to its end after the start."""
 _DECISION_SECONDS = 5.0
+"""The longest time that a claim waits for its decision, whatever its deadline."""
 _READ_WAIT_MS = 1000
+"""How long the log holds a read open while there are no new records."""
 _READ_SECONDS = 2.0
+"""The timeout of a read, on top of the time that the log holds it open."""
 _RETRY_SECONDS = 0.2
-_BEYOND_END = 2**53
+"""The pause after a failed read."""
+_OFFSET_BEYOND_END = 2**53
+"""An offset above any record's; reading there returns the bounds of the stream."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClaimError:
-    """The claim was not decided; the claimant must not act on it, now or later."""
+    """The claim was not decided, and the claimant must not act on it, now or later."""
 
     reason: str
     retry_after_ms: int
@@ -40,21 +49,21 @@
 class _Proposal:
     claim: records.Claim
     deadline: clock.Deadline
-    decided: concurrent.futures.Future[ClaimResult]
+    decision: concurrent.futures.Future[ClaimResult]
 
-    def settle(self, result: ClaimResult) -> None:
-        """Tell the claimant; only the first result counts, and none once it has given up."""
+    def resolve(self, result: ClaimResult) -> None:
+        """Set the claimant's result, unless it has one already or the claimant has given up."""
         with contextlib.suppress(concurrent.futures.InvalidStateError):
-            self.decided.set_result(result)
+            self.decision.set_result(result)
 
 
 class ClaimShard:
     """
-    Decides claims by the order of one stream's records.
+    Decides claims by the order of the records in one stream.
 
-    A claimant acts only once its own record has been read back as the one in force. So an append
-    whose answer was lost, or that takes effect after its claimant gave up, does no harm: the
-    claimant is gone, and whoever comes next reads the record like any other's.
+    A claimant acts only after its own record was read back as the claim in force. So an append
+    whose answer was lost, or that takes effect after its claimant has given up, does no harm: the
+    claimant is gone, and the next one reads the record like any other claim.
     """
 
     def __init__(
@@ -74,42 +83,43 @@
         self._table = table.ClaimTable(shard, window)
         self._next_offset = 0
         self._caught_up = threading.Event()
-        self._read_at = -math.inf
+        self._last_read_at = -math.inf
         self._read_failed = False
         self._health = health
-        self._waiting: queue.Queue[_Proposal] = queue.Queue(_MOST_WAITING)
+        self._waiting: queue.Queue[_Proposal] = queue.Queue(_MAX_WAITING_CLAIMS)
         self._proposals: dict[str, _Proposal] = {}
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the stream has been read to what was its end at start."""
+        """Whether the stream was read to the end that it had at the start."""
         return self._caught_up.is_set()
 
     @property
-    def read_at(self) -> float:
-        """When the newest read that reached the stream's end began, in monotonic seconds."""
-        return self._read_at
+    def last_read_at(self) -> float:
+        """When the last read that reached the stream's end began, in monotonic seconds."""
+        return self._last_read_at
 
     @property
-    def is_settled(self) -> bool:
-        """Whether the stream was read to its end, or can't be read now."""
+    def is_ready(self) -> bool:
+        """Whether the stream was read to its end or can't be read at present."""
         return self._caught_up.is_set() or self._read_failed
 
     def start(self) -> None:
         """Start the two tasks that follow the stream and append to it."""
-        self._group.keep(self._follow)
+        self._group.keep(self._follow_stream)
         self._group.keep(self._append_groups)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
-        """Return the claim in force for a key, as far as the stream was read."""
+        """Return the claim in force for a key, as far as the stream was read, or None."""
         with self._lock:
             return self._table.find(customer, key)
 
     def propose(self, claim: records.Claim, deadline: clock.Deadline) -> ClaimResult:
         """
-        Append a claim and return the one in force, which may be another's.
+        Append a claim and return the one in force, which may be another one.
 
-        After an error the claimant must not act: its record may still come to stand in the log.
+        After an error the claimant must not act, since its record may still be appended to the
+        log later.
         """
         if not self._caught_up.wait(deadline.earlier(_CATCH_UP_SECONDS).remaining):
             return expression.Error(ClaimError("claims-unread", 1000))
@@ -131,30 +141,30 @@
             return expression.Error(ClaimError("claims-waiting", 500))
         try:
             limit = proposal.deadline.earlier(_DECISION_SECONDS)
-            return proposal.decided.result(timeout=limit.remaining)
+            return proposal.decision.result(timeout=limit.remaining)
         except concurrent.futures.TimeoutError:
-            if proposal.decided.cancel():
+            if proposal.decision.cancel():
                 return expression.Error(ClaimError("log-slow", 1000))
-            return proposal.decided.result()
+            return proposal.decision.result()
 
     def _append_groups(self) -> None:
         while not self._group.is_stopping:
-            group = self._take_group()
+            group = self._collect_group()
             if group:
                 self._append_group(group)
 
-    def _take_group(self) -> list[_Proposal]:
-        """Return what waits, so that claims that come together share one append."""
+    def _collect_group(self) -> list[_Proposal]:
+        """Return the waiting claims, so that those that arrive together share one append."""
         try:
             group = [self._waiting.get(timeout=0.5)]
         except queue.Empty:
             return []
-        group += self._take_waiting(_MOST_IN_APPEND - 1)
-        return [item for item in group if not item.decided.done()]
+        group += self._pop_waiting(_MAX_CLAIMS_PER_APPEND - 1)
+        return [item for item in group if not item.decision.done()]
 
-    def _take_waiting(self, most: int) -> list[_Proposal]:
+    def _pop_waiting(self, limit: int) -> list[_Proposal]:
         taken: list[_Proposal] = []
-        while len(taken) < most:
+        while len(taken) < limit:
             try:
                 taken.append(self._waiting.get_nowait())
             except queue.Empty:
@@ -164,34 +174,34 @@
     def _append_group(self, group: list[_Proposal]) -> None:
         deadline = clock.start_deadline(_APPEND_SECONDS)
         values = [item.claim.to_value() for item in group]
-        self._health.start_append()
+        self._health.record_append_start()
         appended = self._service.append(self._stream, values, deadline)
         if appended.is_error() and not self._are_read_back(group, appended.error):
             self._refuse_group(group, appended.error)
-        self._health.end_append()
+        self._health.record_append_end()
 
     def _are_read_back(self, group: list[_Proposal], error: logservice.LogError) -> bool:
-        """Wait a moment for claims whose append may have taken effect without an answer."""
-        futures = [item.decided for item in group]
+        """Return whether all claims of a failed append are decided, waiting if they may be."""
+        futures = [item.decision for item in group]
         if error.may_have_effect:
             concurrent.futures.wait(futures, timeout=_READ_BACK_SECONDS)
         return all(future.done() and not future.cancelled() for future in futures)
 
     def _refuse_group(self, group: list[_Proposal], error: logservice.LogError) -> None:
         """
-        Refuse claims whose append failed, and those that have come to wait behind them.
+        Refuse claims whose append failed, and those that wait behind them.
 
-        The records may stand in the log all the same. That does no harm: these claimants give
-        up for good here, and nobody else acts on another's record without asking its sidecar.
+        The records may be in the log nevertheless. That does no harm: these claimants never act
+        on them, and no other process acts on a claim of another without asking its sidecar.
         """
         metrics.count(metrics.LOG_OUTAGES)
         log.warn_bounded("log-append-failed", f"{self._stream}: {error.detail}")
-        self._health.fail_append()
+        self._health.record_append_failure()
         refusal = ClaimError("log-failing", max(200, error.retry_after_ms))
-        for item in [*group, *self._take_waiting(_MOST_WAITING)]:
-            item.settle(expression.Error(refusal))
+        for item in [*group, *self._pop_waiting(_MAX_WAITING_CLAIMS)]:
+            item.resolve(expression.Error(refusal))
 
-    def _follow(self) -> None:
+    def _follow_stream(self) -> None:
         while not self._group.is_stopping and not self._find_start():
             self._group.pause(_RETRY_SECONDS)
         while not self._group.is_stopping:
@@ -199,10 +209,10 @@
                 self._group.pause(_RETRY_SECONDS)
 
     def _find_start(self) -> bool:
-        """Start one window before the end: older claims are forgotten by everyone."""
+        """Set the start of reading one window before the end, since no process keeps more."""
         started_at = clock.read_now()
         page = self._service.read(
-            self._stream, _BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
+            self._stream, _OFFSET_BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
         )
         self._read_failed = page.is_error()
         if page.is_error():
@@ -210,7 +220,7 @@
             return False
         start = max(page.ok.first_offset, page.ok.next_offset - self._window)
         self._next_offset = max(0, start)
-        self._note_read(page.ok, started_at)
+        self._record_read(page.ok, started_at)
         return True
 
     def _read_page(self) -> bool:
@@ -222,24 +232,24 @@
             self._report_read_failure(page.error)
             return False
         if page.ok.first_offset > self._next_offset:
-            self._skip_lost(page.ok.first_offset)
+            self._skip_deleted(page.ok.first_offset)
         for record in page.ok.records:
-            self._fold_record(record)
-        self._note_read(page.ok, started_at)
+            self._apply_record(record)
+        self._record_read(page.ok, started_at)
         return True
 
-    def _note_read(self, page: logservice.Page, started_at: float) -> None:
-        self._health.note_read()
+    def _record_read(self, page: logservice.Page, started_at: float) -> None:
+        self._health.record_read()
         if self._next_offset >= page.next_offset:
-            self._read_at = started_at
+            self._last_read_at = started_at
             self._caught_up.set()
 
     def _report_read_failure(self, error: logservice.LogError) -> None:
         metrics.count(metrics.LOG_OUTAGES)
         log.warn_bounded("log-read-failed", f"{self._stream}: {error.detail}")
 
-    def _skip_lost(self, first_offset: int) -> None:
-        """Go on where the log still has records; what was deleted can't be decided here."""
+    def _skip_deleted(self, first_offset: int) -> None:
+        """Skip deleted records and fail the waiting claims, which may have been among them."""
         log.warn_bounded(
             "claims-deleted",
             f"{self._stream}: records {self._next_offset} to {first_offset} were deleted before "
@@ -249,20 +259,20 @@
             lost = list(self._proposals.values())
             self._next_offset = first_offset
         for proposal in lost:
-            proposal.settle(expression.Error(ClaimError("claim-lost", 1000)))
+            proposal.resolve(expression.Error(ClaimError("claim-lost", 1000)))
 
-    def _fold_record(self, record: logservice.Record) -> None:
+    def _apply_record(self, record: logservice.Record) -> None:
         invariants.require(
             record.offset >= self._next_offset,
             "claims-in-order",
-            f"{self._stream}: record {record.offset} came after {self._next_offset}",
+            f"{self._stream}: record {record.offset} was read after {self._next_offset}",
         )
         claim = records.read_claim(record.value)
         with self._lock:
             self._next_offset = record.offset + 1
             if claim is None:
                 return
-            in_force = self._table.fold(record.offset, claim)
+            in_force = self._table.apply(record.offset, claim)
             proposal = self._proposals.get(claim.nonce)
         if proposal is not None:
-            proposal.settle(expression.Ok(in_force))
+            proposal.resolve(expression.Ok(in_force))
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -13,7 +13,7 @@
 import expression
 
 from oleander_base import clock, identifiers, invariants, log
-from oleander_claims import book, records, shard
+from oleander_claims import records, shard, sharded_claims
 from oleander_contracts import contract
 from oleander_routing import router
 from oleander_wire import messages
@@ -56,7 +56,7 @@
     """Claims a key and sends its request to the claimed sidecar, or follows an earlier claim."""
 
     def __init__(
-        self, claims: book.ClaimBook, router_: router.Router, links: peers.PeerLinks
+        self, claims: sharded_claims.ShardedClaims, router_: router.Router, links: peers.PeerLinks
     ) -> None:
         self._claims = claims
         self._router = router_
@@ -219,7 +219,7 @@
         further attempt but never runs a request twice.
         """
         claim = logged.claim
-        fresh = clock.Deadline(logged.folded_at + _CLAIMANT_GRACE_SECONDS)
+        fresh = clock.Deadline(logged.read_at + _CLAIMANT_GRACE_SECONDS)
         while not fresh.is_past and not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
             call = key_inquiry.send_find(link, request)
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -3,7 +3,7 @@
 import threading
 
 from oleander_base import clock, identifiers, log, tasks
-from oleander_claims import book
+from oleander_claims import sharded_claims
 from oleander_contracts import fold
 from oleander_platform import hostlist, http_hostlist, http_logservice
 from oleander_routing import retries, router
@@ -46,7 +46,7 @@
     def __init__(self, chosen: settings.Settings) -> None:
         self._settings = chosen
         self._leaving = threading.Event()
-        shard_tasks = chosen.claim_shards * book.TASKS_PER_SHARD
+        shard_tasks = chosen.claim_shards * sharded_claims.TASKS_PER_SHARD
         most_tasks = (
             chosen.peer_limit + _MAX_EXTRA_LINKS + shard_tasks + chosen.sample_tasks + _OTHER_TASKS
         )
@@ -59,7 +59,7 @@
         self._synchronizer = configuration_sync.ConfigurationSynchronizer(self._follower)
         self._router = router.Router(identifiers.hash_text(chosen.name), clock.read_now)
         self._links = peers.PeerLinks(self._create_link, self._group, _MAX_EXTRA_LINKS)
-        self._claim_book = book.ClaimBook(
+        self._claim_book = sharded_claims.ShardedClaims(
             log_service, self._group, chosen.claim_shards, chosen.claim_window
         )
         self._steps = registry.StepRegistry()
@@ -156,7 +156,7 @@
     def _is_ready(self) -> bool:
         if self._leaving.is_set() or not self._follower.is_caught_up:
             return False
-        return self._claim_book.is_settled and bool(self._router.list_peers())
+        return self._claim_book.is_ready and bool(self._router.list_peers())
 
     def _drain(self) -> None:
         """
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -3,7 +3,7 @@
 import expression
 
 from oleander_base import clock
-from oleander_claims import book
+from oleander_claims import sharded_claims
 from oleander_contracts import contract
 from oleander_routing import router
 from oleander_wire import messages
@@ -29,7 +29,7 @@
     def __init__(
         self,
         signer: tickets.TicketSigner,
-        claims: book.ClaimBook,
+        claims: sharded_claims.ShardedClaims,
         router_: router.Router,
         links: peers.PeerLinks,
         claim_dispatcher: claim_dispatch.ClaimDispatcher,
