--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -3,14 +3,14 @@
 import behave
 
 from oleander_wire import messages
-from oleanderdeal import ledger
+from oleanderdeal import key_ledger
 
 
 class LedgerProbe:
     """Plays messages for one key into a ledger and notes what came back."""
 
     def __init__(self, incarnation, keys=100, most_bytes=1000):
-        self.ledger = ledger.Ledger(incarnation, keys, most_bytes)
+        self.ledger = key_ledger.KeyLedger(incarnation, keys, most_bytes)
         self.incarnation = incarnation
         self.answers = []
         self.starts = 0
--- a/features/steps/runners_steps.py
+++ b/features/steps/runners_steps.py
@@ -9,7 +9,7 @@
 from oleander_base import clock, tasks
 from oleander_contracts import fold, records
 from oleander_wire import messages
-from oleanderdeal import runners, weights, work
+from oleanderdeal import pending_runs, runners, weights
 
 _LOAD_TIMEOUT_MS = 60_000
 
@@ -96,7 +96,7 @@
         "r", "t", "i", "c", "o", "", "", 1, 0, -1, True, 1, 50, 1000, b"prompt", terms
     )
     deadline = clock.start_deadline(30)
-    pending = work.PendingRun(
+    pending = pending_runs.PendingRun(
         "w",
         run,
         deadline,
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from oleanderdeal import setting_table, settings, usage
+from oleanderdeal import help_texts, setting_table, settings
 
 _SOUND_SIDECAR = {
     "OLEANDERDEAL_NAME": "desk-1",
@@ -88,6 +88,6 @@
     assert sorted(attributes) == sorted(["command", *(item.name for item in setting_table.TABLE)])
     for setting in setting_table.TABLE:
         for command in setting.roles:
-            text = usage.format_command_help(command)
+            text = help_texts.format_command_help(command)
             assert f"  {setting.flag}  (" in text
             assert f"variable: {setting.variable}\n" in text
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -74,7 +74,7 @@
             self.reporter.flush()
             self._flush_at = now + 0.5
         if now >= self._hold_at and self.lease.is_wanted:
-            self._hold_at = now + self.reporter.hold_lease()
+            self._hold_at = now + self.reporter.try_hold_lease()
         self.reporter.report_due()
 
 
--- a/features/steps/waiting_runs_steps.py
+++ b/features/steps/waiting_runs_steps.py
@@ -8,7 +8,7 @@
 from oleander_admission import admission
 from oleander_base import clock, tasks
 from oleander_wire import link, messages
-from oleanderdeal import executor, ledger, runners, sidecar_links
+from oleanderdeal import executor, key_ledger, runners, sidecar_links
 
 _HEARTBEAT_MS = 200
 _BUDGET_MS = 20000
@@ -57,7 +57,12 @@
     group = tasks.TaskGroup("sidecar", 8)
     runs = executor.Executor(admission.AdmissionQueue(1, 8), context.runner, group, 1)
     links = sidecar_links.SidecarLinks(
-        _HELLO, _HEARTBEAT_MS, lambda: _BEAT, runs, ledger.Ledger("i1", 8, 1024), context.records
+        _HELLO,
+        _HEARTBEAT_MS,
+        lambda: _BEAT,
+        runs,
+        key_ledger.KeyLedger("i1", 8, 1024),
+        context.records,
     )
     server = link.LinkServer("127.0.0.1", 0, links.serve, 4)
     runs.start()
--- a/programs/generate_pages.py
+++ b/programs/generate_pages.py
@@ -4,7 +4,7 @@
 import sys
 
 from oleander_base import metrics
-from oleanderdeal import setting_table, usage
+from oleanderdeal import help_texts, setting_table
 
 _DOCS = pathlib.Path(__file__).resolve().parent.parent / "docs"
 _SETTINGS_HEAD = """# Settings
@@ -36,11 +36,11 @@
     """Return the page of settings."""
     lines = [_SETTINGS_HEAD]
     for command in setting_table.Command:
-        lines += [f"## oleanderdeal {command}", "", usage.summarize(command), ""]
+        lines += [f"## oleanderdeal {command}", "", help_texts.summarize(command), ""]
         lines += ["| flag | variable | values | default | meaning |", "|---|---|---|---|---|"]
         for setting in setting_table.list_settings(command):
-            default = usage.describe_default(setting).removeprefix("default: ")
-            values = usage.describe_values(setting)
+            default = help_texts.describe_default(setting).removeprefix("default: ")
+            values = help_texts.describe_values(setting)
             lines.append(
                 f"| `{setting.flag}` | `{setting.variable}` | {values} | {default} "
                 f"| {setting.help} |"
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -212,9 +212,9 @@
         self._group.keep(self._runner.checkpoint_partials)
         self._group.keep(self._keeper.keep)
         if self._reporter is not None:
-            self._group.keep(self._reporter.flush_counts)
+            self._group.keep(self._reporter.flush_repeatedly)
             self._group.keep(self._reporter.keep_lease)
-            self._group.keep(self._reporter.report)
+            self._group.keep(self._reporter.report_repeatedly)
         self._group.start(self._callers.serve)
         self._group.start(self._ready.serve)
         if self._metrics is not None:
@@ -306,7 +306,7 @@
         self._leaving.set()
         self._keeper.leave()
         if self._reporter is not None:
-            self._reporter.leave()
+            self._reporter.release_lease()
         self._runner.drain()
         self._owned.leave()
         pause = threading.Event()
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -6,11 +6,11 @@
 from oleander_admission import work as admission_work
 from oleander_base import clock, log, metrics, tasks
 from oleander_wire import messages
-from oleanderdeal import runners, work
+from oleanderdeal import pending_runs, runners
 
-_TAKE_SECONDS = 0.2
-_SERVICE_COST_MS = 20.0
-_TOKEN_COST_MS = 1.0
+_TAKE_TIMEOUT_SECONDS = 0.2
+_INITIAL_SERVICE_MS = 20.0
+_INITIAL_TOKEN_MS = 1.0
 """The prediction before any work was done, low on purpose: work predicted to take longer than its
 budget is refused even when nothing else waits."""
 
@@ -35,25 +35,25 @@
         self._group = group
         self._slots = slots
         self._lock = threading.Lock()
-        self._pending: dict[str, work.PendingRun] = {}
-        self._answering = 0
+        self._pending: dict[str, pending_runs.PendingRun] = {}
+        self._answers_in_flight = 0
 
     @property
     def is_idle(self) -> bool:
         """Whether nothing waits or runs, and every answer is on its way."""
         with self._lock:
-            return not self._pending and not self._answering
+            return not self._pending and not self._answers_in_flight
 
     def start(self) -> None:
         """Start one task a slot."""
         for _ in range(self._slots):
             self._group.keep(self._serve_slot)
 
-    def submit(self, pending: work.PendingRun) -> None:
+    def submit(self, pending: pending_runs.PendingRun) -> None:
         """Queue a request or refuse it at once."""
         with self._lock:
             self._pending[pending.work_id] = pending
-        admitted = self._queue.submit(_describe_work(pending))
+        admitted = self._queue.submit(_build_work(pending))
         if admitted.is_error():
             self._refuse(pending.work_id, admitted.error)
             return
@@ -74,7 +74,7 @@
             return
         pending.cancel()
 
-    def hand_over(self) -> None:
+    def refuse_waiting(self) -> None:
         """
         Refuse all that waits as not run, so that the entries take it elsewhere.
 
@@ -96,7 +96,7 @@
 
     def _serve_slot(self) -> None:
         while not self._group.is_stopping:
-            taken = self._queue.take(_TAKE_SECONDS)
+            taken = self._queue.take(_TAKE_TIMEOUT_SECONDS)
             self._answer_dropped()
             if taken is not None:
                 self._run(taken.work_id)
@@ -105,14 +105,14 @@
         with self._lock:
             pending = self._pending[work_id]
         started_at = clock.read_now()
-        answer = self._run_wanted(pending)
+        answer = self._run_unless_abandoned(pending)
         service_ms = (clock.read_now() - started_at) * 1000
         is_whole = answer.outcome is messages.Outcome.DONE
         self._queue.finish(work_id, service_ms, completed=is_whole)
         _log_run(pending, answer, service_ms)
         self._answer(work_id, answer)
 
-    def _run_wanted(self, pending: work.PendingRun) -> messages.Answer:
+    def _run_unless_abandoned(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """
         Run a request unless its caller has given up, checked right before it leaves here.
 
@@ -121,11 +121,11 @@
         to its end, and made up to 168 tokens for nobody.
         """
         if pending.is_unwanted:
-            return _refuse_unwanted("too-late")
+            return _build_not_run("too-late")
         if pending.run.repeatable and pending.is_abandoned():
-            return _refuse_unwanted("entry-gone")
+            return _build_not_run("entry-gone")
         try:
-            return runners.measure(self._runner, pending)
+            return runners.run_timed(self._runner, pending)
         except Exception:
             log.logger.bind(event="run-failed", trace=pending.run.trace_id).exception("run failed")
             return messages.Answer("", messages.Outcome.UNKNOWN, 0, "internal-error", 0, b"", 0)
@@ -153,31 +153,31 @@
             pending = self._pending.pop(work_id, None)
             if pending is None:
                 return
-            self._answering += 1
+            self._answers_in_flight += 1
         try:
             pending.answer(answer)
         finally:
             with self._lock:
-                self._answering -= 1
+                self._answers_in_flight -= 1
 
 
-def _refuse_unwanted(reason: str) -> messages.Answer:
+def _build_not_run(reason: str) -> messages.Answer:
     return messages.Answer("", messages.Outcome.NOT_RUN, 0, reason, 0, b"", 0)
 
 
-def _log_run(pending: work.PendingRun, answer: messages.Answer, service_ms: float) -> None:
+def _log_run(pending: pending_runs.PendingRun, answer: messages.Answer, service_ms: float) -> None:
     run = pending.run
     log.logger.bind(
         event="run", trace=run.trace_id, customer=run.customer, operation=run.operation
     ).debug(f"{answer.outcome.value} {answer.reason} in {service_ms:.0f} ms")
 
 
-def _describe_work(pending: work.PendingRun) -> admission_work.Work:
+def _build_work(pending: pending_runs.PendingRun) -> admission_work.Work:
     run = pending.run
-    cost = _SERVICE_COST_MS
+    cost = _INITIAL_SERVICE_MS
     if run.generation is not None:
         remaining = max(1, run.generation.max_tokens - run.generation.resumed_tokens)
-        cost = remaining * _TOKEN_COST_MS
+        cost = remaining * _INITIAL_TOKEN_MS
     return admission_work.Work(
         pending.work_id, run.customer, run.priority, run.share_percent, cost, pending.deadline
     )
--- a/programs/oleanderdeal/oleanderdeal/ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -17,8 +17,8 @@
 
 Listener = collections.abc.Callable[[messages.Answer], None]
 
-_MOST_LISTENERS = 16
-_EPOCHS = 16
+_MAX_LISTENERS_PER_KEY = 16
+_EPOCHS_PER_LEDGER = 16
 
 REASON_SEALED = "sealed"
 REASON_OTHER_INCARNATION = "incarnation-gone"
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Place:
+class _ClaimPosition:
     """A shard and the offset of a claim in it."""
 
     shard: int
@@ -48,7 +48,7 @@
 class _KeyEntry:
     attempt: int
     digest: str
-    places: list[_Place]
+    positions: list[_ClaimPosition]
     """Where the key's claims stand, of all attempts that came here."""
     state: KeyState
     answer: messages.Answer | None
@@ -60,7 +60,7 @@
     return messages.Answer("", outcome, 0, reason, 0, b"", 0)
 
 
-class Ledger:
+class KeyLedger:
     """
     Remembers keys; bounded in keys and in bytes of kept answers.
 
@@ -70,17 +70,17 @@
     forgotten; the admission queue bounds how many there are.
     """
 
-    def __init__(self, incarnation: str, most_keys: int, most_bytes: int) -> None:
+    def __init__(self, incarnation: str, max_keys: int, max_bytes: int) -> None:
         self._incarnation = incarnation
-        self._most_keys = most_keys
-        self._most_bytes = most_bytes
+        self._max_keys = max_keys
+        self._max_bytes = max_bytes
         self._lock = threading.Lock()
         self._entries: collections.OrderedDict[tuple[str, str], _KeyEntry] = (
             collections.OrderedDict()
         )
         self._answers: collections.deque[_KeyEntry] = collections.deque()
-        self._kept_bytes = 0
-        self._forgotten_offsets: dict[int, int] = {}
+        self._retained_bytes = 0
+        self._evicted_offsets: dict[int, int] = {}
         self._ticket_epoch = 1
         self._tickets_in_epoch = 0
 
@@ -99,7 +99,7 @@
             if self._may_start(run, entry):
                 self._insert(run, KeyState.STARTED, listener)
                 return True
-            answer = self._read_or_listen(entry, run, listener)
+            answer = self._get_answer_or_listen(entry, run, listener)
         if answer is not None:
             listener(answer)
         return False
@@ -114,7 +114,7 @@
             if self._may_seal(join, entry):
                 self._insert(join, KeyState.SEALED, None)
                 entry = self._entries[join.customer, join.key]
-            answer = self._read_or_listen(entry, join, listener)
+            answer = self._get_answer_or_listen(entry, join, listener)
         if answer is not None:
             listener(answer)
 
@@ -131,7 +131,7 @@
                 return create_answer(messages.Outcome.NOT_RUN, messages.REASON_UNSEEN)
             if entry.digest == asked.digest and entry.state is KeyState.STARTED:
                 return create_answer(messages.Outcome.UNKNOWN, REASON_RUNNING)
-            return _read_ended(entry, asked.digest)
+            return _build_ended_answer(entry, asked.digest)
 
     def end(self, run: messages.Run, answer: messages.Answer) -> None:
         """Keep a started key's answer and hand it to everyone who waits for it."""
@@ -146,26 +146,26 @@
             entry.state = KeyState.SEALED if is_sealed else KeyState.ENDED
             entry.answer = answer
             listeners, entry.listeners = entry.listeners, []
-            self._keep_answer(entry)
-            self._forget_oldest()
+            self._retain_answer(entry)
+            self._evict_oldest()
         for listener in listeners:
             listener(answer)
 
     def _may_start(self, run: messages.Run, entry: _KeyEntry | None) -> bool:
         if entry is None:
-            return not self._is_forgotten(run)
+            return not self._may_be_evicted(run)
         return entry.state is KeyState.SEALED and run.attempt > entry.attempt
 
     def _may_seal(self, join: messages.Join, entry: _KeyEntry | None) -> bool:
         if entry is None:
-            return not self._is_forgotten(join)
+            return not self._may_be_evicted(join)
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
 
-    def _is_forgotten(self, asked: messages.Run | messages.Join) -> bool:
+    def _may_be_evicted(self, asked: messages.Run | messages.Join) -> bool:
         """Tell whether this key may have been here and been forgotten."""
-        return asked.claim_offset <= self._forgotten_offsets.get(asked.shard, -1)
+        return asked.claim_offset <= self._evicted_offsets.get(asked.shard, -1)
 
-    def _read_or_listen(
+    def _get_answer_or_listen(
         self,
         entry: _KeyEntry | None,
         asked: messages.Run | messages.Join,
@@ -174,8 +174,8 @@
         if entry is None:
             return create_answer(messages.Outcome.UNKNOWN, REASON_FORGOTTEN)
         if entry.digest != asked.digest or entry.state is not KeyState.STARTED:
-            return _read_ended(entry, asked.digest)
-        if len(entry.listeners) >= _MOST_LISTENERS:
+            return _build_ended_answer(entry, asked.digest)
+        if len(entry.listeners) >= _MAX_LISTENERS_PER_KEY:
             return create_answer(messages.Outcome.UNKNOWN, REASON_TOO_MANY_WAITING)
         entry.listeners.append(listener)
         return None
@@ -189,44 +189,44 @@
         name = (asked.customer, asked.key)
         listeners = [] if listener is None else [listener]
         earlier = self._entries.pop(name, None)
-        places = [] if earlier is None else earlier.places
-        places.append(_Place(asked.shard, asked.claim_offset))
+        places = [] if earlier is None else earlier.positions
+        places.append(_ClaimPosition(asked.shard, asked.claim_offset))
         self._entries[name] = _KeyEntry(
             asked.attempt, asked.digest, places, state, None, listeners
         )
         if asked.shard == messages.TICKET_SHARD:
             self._count_ticket()
-        self._forget_oldest()
+        self._evict_oldest()
 
     def _count_ticket(self) -> None:
         """Start a new epoch now and then, so that forgetting old tickets spares new ones."""
         self._tickets_in_epoch += 1
-        if self._tickets_in_epoch >= max(1, self._most_keys // _EPOCHS):
+        if self._tickets_in_epoch >= max(1, self._max_keys // _EPOCHS_PER_LEDGER):
             self._tickets_in_epoch = 0
             self._ticket_epoch += 1
 
-    def _keep_answer(self, entry: _KeyEntry) -> None:
+    def _retain_answer(self, entry: _KeyEntry) -> None:
         self._answers.append(entry)
-        self._kept_bytes += _count_bytes(entry)
-        while self._kept_bytes > self._most_bytes and len(self._answers) > 1:
+        self._retained_bytes += _count_bytes(entry)
+        while self._retained_bytes > self._max_bytes and len(self._answers) > 1:
             oldest = self._answers.popleft()
-            self._kept_bytes -= _count_bytes(oldest)
+            self._retained_bytes -= _count_bytes(oldest)
             oldest.answer = None
 
-    def _forget_oldest(self) -> None:
-        while len(self._entries) > self._most_keys:
+    def _evict_oldest(self) -> None:
+        while len(self._entries) > self._max_keys:
             name = next(
                 (n for n, e in self._entries.items() if e.state is not KeyState.STARTED), None
             )
             if name is None:
                 return
-            self._note_forgotten(self._entries.pop(name))
+            self._record_evicted(self._entries.pop(name))
 
-    def _note_forgotten(self, entry: _KeyEntry) -> None:
-        for place in entry.places:
-            newest = self._forgotten_offsets.get(place.shard, -1)
-            self._forgotten_offsets[place.shard] = max(newest, place.offset)
-        forgotten_epoch = self._forgotten_offsets.get(messages.TICKET_SHARD, -1)
+    def _record_evicted(self, entry: _KeyEntry) -> None:
+        for place in entry.positions:
+            newest = self._evicted_offsets.get(place.shard, -1)
+            self._evicted_offsets[place.shard] = max(newest, place.offset)
+        forgotten_epoch = self._evicted_offsets.get(messages.TICKET_SHARD, -1)
         self._ticket_epoch = max(self._ticket_epoch, forgotten_epoch + 1)
 
 
@@ -242,7 +242,7 @@
     return create_answer(outcome, REASON_OTHER_INCARNATION)
 
 
-def _read_ended(entry: _KeyEntry, digest: str) -> messages.Answer:
+def _build_ended_answer(entry: _KeyEntry, digest: str) -> messages.Answer:
     if entry.digest != digest:
         return create_answer(messages.Outcome.UNKNOWN, messages.REASON_OTHER_BODY)
     if entry.state is KeyState.SEALED:
--- a/programs/oleanderdeal/oleanderdeal/main.py
+++ b/programs/oleanderdeal/oleanderdeal/main.py
@@ -8,7 +8,7 @@
 import expression
 
 from oleander_base import findings, log, metrics
-from oleanderdeal import exit_codes, setting_table, settings, usage
+from oleanderdeal import exit_codes, help_texts, setting_table, settings
 
 _HELP_FLAGS = ("--help", "-h", "-help")
 _VERSION_FLAGS = ("--version", "-version")
@@ -36,17 +36,17 @@
 ) -> int:
     """Run one command and return the exit status."""
     if not arguments:
-        _print_error(usage.format_usage())
+        _print_error(help_texts.format_usage())
         return exit_codes.ExitCode.USAGE
     command = arguments[0]
     if command in _VERSION_FLAGS:
-        _print_out(usage.VERSION)
+        _print_out(help_texts.VERSION)
         return exit_codes.ExitCode.OK
     if command in _HELP_FLAGS:
-        _print_out(usage.format_usage())
+        _print_out(help_texts.format_usage())
         return exit_codes.ExitCode.OK
     if command in tuple(setting_table.Command) and _asks_help(arguments):
-        _print_out(usage.format_command_help(setting_table.Command(command)))
+        _print_out(help_texts.format_command_help(setting_table.Command(command)))
         return exit_codes.ExitCode.OK
     result = settings.read_settings(command, arguments[1:], environ)
     match result:
--- a/programs/oleanderdeal/oleanderdeal/runners.py
+++ b/programs/oleanderdeal/oleanderdeal/runners.py
@@ -5,7 +5,7 @@
 from oleander_backends import engine, service
 from oleander_base import clock
 from oleander_wire import messages
-from oleanderdeal import weights, work
+from oleanderdeal import pending_runs, weights
 
 REASON_CANCELLED = "cancelled"
 REASON_LABEL_UNKNOWN = "label-unknown"
@@ -17,11 +17,11 @@
     """Runs one request to its end; blocks until then."""
 
     @abc.abstractmethod
-    def run(self, pending: work.PendingRun) -> messages.Answer:
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """Return what became of the request."""
 
 
-def _answer(
+def _build_answer(
     outcome: messages.Outcome, reason: str, retry_after_ms: int = 0, status: int = 0
 ) -> messages.Answer:
     return messages.Answer("", outcome, status, reason, retry_after_ms, b"", 0)
@@ -40,7 +40,7 @@
     def __init__(self, backend: service.Service) -> None:
         self._backend = backend
 
-    def run(self, pending: work.PendingRun) -> messages.Answer:
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """Call the service; a lost answer makes the outcome unknown, never a second call."""
         run = pending.run
         late_seconds = 0.0 if run.repeatable else _LATE_ANSWER_SECONDS
@@ -48,14 +48,14 @@
         result = self._backend.call(run.operation, run.key, run.body, deadline)
         if result.is_ok():
             return messages.Answer(
-                "", _judge_status(result.ok.status), result.ok.status, "", 0, result.ok.body, 0
+                "", _classify_status(result.ok.status), result.ok.status, "", 0, result.ok.body, 0
             )
         if result.error.not_run:
-            return _answer(messages.Outcome.NOT_RUN, "service-unreachable", 1000)
-        return _answer(messages.Outcome.UNKNOWN, "service-gave-no-answer")
+            return _build_answer(messages.Outcome.NOT_RUN, "service-unreachable", 1000)
+        return _build_answer(messages.Outcome.UNKNOWN, "service-gave-no-answer")
 
 
-def _judge_status(status: int) -> messages.Outcome:
+def _classify_status(status: int) -> messages.Outcome:
     return messages.Outcome.DONE if status < 500 else messages.Outcome.FAILED
 
 
@@ -66,18 +66,18 @@
         self._backend = backend
         self._keeper = keeper
 
-    def run(self, pending: work.PendingRun) -> messages.Answer:
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """Generate; what was streamed before a failure can be resumed elsewhere."""
         terms = pending.run.generation
         if terms is None:
-            return _answer(messages.Outcome.NOT_RUN, "not-a-generation")
+            return _build_answer(messages.Outcome.NOT_RUN, "not-a-generation")
         before = self._keeper.read_state()
         version = before.usable_version
         if version is None or version < terms.oldest_version:
-            return _answer(messages.Outcome.NOT_RUN, REASON_OUT_OF_ROTATION, 500)
-        started = self._backend.generate(_read_generation(pending.run, terms), pending.deadline)
+            return _build_answer(messages.Outcome.NOT_RUN, REASON_OUT_OF_ROTATION, 500)
+        started = self._backend.generate(_build_generation(pending.run, terms), pending.deadline)
         if started.is_error():
-            return _judge_error(started.error)
+            return _convert_error(started.error)
         stream = started.ok
         pending.stop_backend = stream.cancel
         try:
@@ -87,7 +87,7 @@
 
     def _forward(
         self,
-        pending: work.PendingRun,
+        pending: pending_runs.PendingRun,
         stream: engine.GenerationStream,
         before: weights.WeightState,
     ) -> messages.Answer:
@@ -106,27 +106,27 @@
         for result in stream:
             if pending.is_unwanted:
                 stream.cancel()
-                return _answer(messages.Outcome.FAILED, REASON_CANCELLED)
+                return _build_answer(messages.Outcome.FAILED, REASON_CANCELLED)
             if result.is_error():
-                return _judge_error(result.error)
+                return _convert_error(result.error)
             chunk = result.ok
             self._keeper.note_stating(chunk.version is not None)
             if chunk.version is None:
                 unlabelled.append(chunk)
             elif not unlabelled:
                 sent += 1
-                pending.send(_write_tokens(pending.run, chunk, chunk.version))
-            is_hopeless = sent or chunk.version is not None or before.order_open
-            if unlabelled and is_hopeless:
+                pending.send(_build_tokens(pending.run, chunk, chunk.version))
+            cannot_label = sent or chunk.version is not None or before.order_open
+            if unlabelled and cannot_label:
                 stream.cancel()
-                return _answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
+                return _build_answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
             if chunk.is_last:
                 return self._end(pending, unlabelled, before)
-        return _answer(messages.Outcome.FAILED, "stream-broke-off")
+        return _build_answer(messages.Outcome.FAILED, "stream-broke-off")
 
     def _end(
         self,
-        pending: work.PendingRun,
+        pending: pending_runs.PendingRun,
         unlabelled: list[engine.Chunk],
         before: weights.WeightState,
     ) -> messages.Answer:
@@ -139,13 +139,13 @@
         if unlabelled:
             version = self._keeper.confirm_unchanged(before)
             if version is None:
-                return _answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
+                return _build_answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
             for chunk in unlabelled:
-                pending.send(_write_tokens(pending.run, chunk, version))
-        return _answer(messages.Outcome.DONE, "", status=200)
+                pending.send(_build_tokens(pending.run, chunk, version))
+        return _build_answer(messages.Outcome.DONE, "", status=200)
 
 
-def _read_generation(run: messages.Run, terms: messages.GenerationTerms) -> engine.Generation:
+def _build_generation(run: messages.Run, terms: messages.GenerationTerms) -> engine.Generation:
     return engine.Generation(
         request_id=f"{run.trace_id}.{run.request_id}",
         prompt=run.body.decode("utf-8", "replace"),
@@ -157,17 +157,17 @@
     )
 
 
-def _write_tokens(run: messages.Run, chunk: engine.Chunk, version: int) -> messages.Tokens:
+def _build_tokens(run: messages.Run, chunk: engine.Chunk, version: int) -> messages.Tokens:
     return messages.Tokens(run.request_id, chunk.text, chunk.tokens, version)
 
 
-def _judge_error(error: engine.EngineError) -> messages.Answer:
+def _convert_error(error: engine.EngineError) -> messages.Answer:
     if error.not_run:
-        return _answer(messages.Outcome.NOT_RUN, "engine-refused", error.retry_after_ms)
-    return _answer(messages.Outcome.FAILED, "engine-failed")
+        return _build_answer(messages.Outcome.NOT_RUN, "engine-refused", error.retry_after_ms)
+    return _build_answer(messages.Outcome.FAILED, "engine-failed")
 
 
-def measure(runner: Runner, pending: work.PendingRun) -> messages.Answer:
+def run_timed(runner: Runner, pending: pending_runs.PendingRun) -> messages.Answer:
     """Run a request and note how long its backend server took."""
     started_at = clock.read_now()
     answer = runner.run(pending)
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -13,7 +13,7 @@
     configuration,
     executor,
     exit_codes,
-    ledger,
+    key_ledger,
     lifecycle,
     order_trail,
     peer_records,
@@ -56,7 +56,7 @@
         self._executor = executor.Executor(
             self._queue, self._create_runner(), self._group, chosen.slots
         )
-        self._keys = ledger.Ledger(
+        self._keys = key_ledger.KeyLedger(
             self._incarnation, chosen.kept_answers * _KEYS_PER_ANSWER, chosen.kept_answer_bytes
         )
         hello = messages.Hello(
@@ -155,7 +155,7 @@
         if self._keeper is not None:
             self._keeper.leave()
         self._links.broadcast_heartbeat()
-        self._executor.hand_over()
+        self._executor.refuse_waiting()
         deadline = clock.start_deadline_ms(self._chosen.drain_ms)
         pause = threading.Event()
         while not self._is_idle and not deadline.is_past:
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -7,7 +7,7 @@
 
 from oleander_base import clock, invariants, log
 from oleander_wire import link, messages
-from oleanderdeal import executor, ledger, lost_answers, peer_records, work
+from oleanderdeal import executor, key_ledger, lost_answers, peer_records, pending_runs
 
 _HELLO_SECONDS = 5.0
 _MOST_RUNS_PER_LINK = 1024
@@ -25,7 +25,7 @@
         heartbeat_ms: int,
         read_heartbeat: HeartbeatReader,
         runs: executor.Executor,
-        keys: ledger.Ledger,
+        keys: key_ledger.KeyLedger,
         records: peer_records.PeerRecords,
     ) -> None:
         self._hello = hello
@@ -142,7 +142,7 @@
         self,
         opened: link.Link,
         runs: executor.Executor,
-        keys: ledger.Ledger,
+        keys: key_ledger.KeyLedger,
         lost: lost_answers.LostAnswers,
     ) -> None:
         self._link = opened
@@ -210,7 +210,7 @@
         work_id = uuid.uuid4().hex
         with self._lock:
             self._work_ids[run.request_id] = work_id
-        pending = work.PendingRun(
+        pending = pending_runs.PendingRun(
             work_id=work_id,
             run=run,
             deadline=clock.start_deadline_ms(run.budget_ms),
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -13,18 +13,18 @@
 LEASE_TOPIC = "oleander.duties"
 _PARTITION = 0
 """Of both topics: one order of all counts and reports, and one lease for the duty."""
-_FLUSH_SECONDS = 0.5
+_FLUSH_INTERVAL_SECONDS = 0.5
 """What a process that is killed leaves uncounted at most."""
-_APPEND_SECONDS = 1.0
-_READ_SECONDS = 1.0
-_LOOK_SECONDS = 0.2
-_LEASE_LOOK_SECONDS = 0.5
-_CALL_SECONDS = 0.8
-_LEAST_TENURE_SECONDS = 1.0
+_APPEND_TIMEOUT_SECONDS = 1.0
+_READ_TIMEOUT_SECONDS = 1.0
+_REPORT_INTERVAL_SECONDS = 0.2
+_LEASE_CHECK_SECONDS = 0.5
+_CALL_TIMEOUT_SECONDS = 0.8
+_MIN_TENURE_SECONDS = 1.0
 """With less of the lease left no call is begun: it could arrive when a successor may call."""
 _TAKEOVER_MARGIN_SECONDS = 1.0
 """On top of a takeover of the lease, for a successor's reads and calls."""
-_LEAST_WAIT_SECONDS = 1.0
+_MIN_WAIT_SECONDS = 1.0
 """From the end of a window to its report: processes append what they counted within this time."""
 _REPEATED_WINDOWS = 2
 """A new holder repeats so many reports: it can't know whether the platform has them."""
@@ -73,13 +73,13 @@
         self._unconfirmed: dict[int, dict[str, int]] = {}
         self._fold = usage_fold.UsageFold()
         self._next_offset = 0
-        self._settled_at = 0.0
+        self._decide_not_before = 0.0
         self._next_window: int | None = None
 
-    def flush_counts(self) -> None:
+    def flush_repeatedly(self) -> None:
         """Append what was counted every so often, until the group stops."""
         while not self._group.is_stopping:
-            self._group.pause(_FLUSH_SECONDS)
+            self._group.pause(_FLUSH_INTERVAL_SECONDS)
             self.flush()
 
     def flush(self) -> bool:
@@ -103,9 +103,9 @@
     def keep_lease(self) -> None:
         """Hold the lease while the duty falls to this process, until the group stops."""
         while not self._group.is_stopping and self._lease.is_wanted:
-            self._group.pause(self.hold_lease())
+            self._group.pause(self.try_hold_lease())
 
-    def hold_lease(self) -> float:
+    def try_hold_lease(self) -> float:
         """
         Claim or renew the lease where it falls to this process; return when to try again.
 
@@ -115,15 +115,15 @@
         pause = 0.0
         if self._ownership.owns(_PARTITION) or self._lease.was_held_last:
             pause = self._lease.try_hold(0)
-        return pause or _LEASE_LOOK_SECONDS
+        return pause or _LEASE_CHECK_SECONDS
 
-    def report(self) -> None:
+    def report_repeatedly(self) -> None:
         """Report the windows that are due while the lease is held, until the group stops."""
         while not self._group.is_stopping:
-            self._group.pause(_LOOK_SECONDS)
+            self._group.pause(_REPORT_INTERVAL_SECONDS)
             self.report_due()
 
-    def leave(self) -> None:
+    def release_lease(self) -> None:
         """Report no more, and leave the lease to another process."""
         self._lease.release()
 
@@ -132,26 +132,26 @@
         if self._find_tenure() is None:
             self._next_window = None
             return
-        newest = (clock.read_wall_ms() - self._wait_ms) // self._settings.window_ms - 1
+        newest = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms - 1
         if self._next_window is not None and self._next_window > newest:
             return
-        if not self._read_on():
+        if not self._read_records():
             return
         if self._next_window is None:
-            self._next_window = self._find_first()
+            self._next_window = self._find_first_window()
         while self._next_window <= newest:
             if not self._report_window(self._next_window):
                 return
             self._next_window += 1
 
     @property
-    def _wait_ms(self) -> int:
+    def _report_delay_ms(self) -> int:
         """Leave a successor the time to report, should this holder be lost just before."""
         takeover_seconds = self._lease.takeover_seconds + _TAKEOVER_MARGIN_SECONDS
         left_ms = self._settings.due_ms - int(takeover_seconds * 1000)
-        return max(left_ms, int(_LEAST_WAIT_SECONDS * 1000))
+        return max(left_ms, int(_MIN_WAIT_SECONDS * 1000))
 
-    def _find_first(self) -> int:
+    def _find_first_window(self) -> int:
         """
         Return where a new holder begins: at the first window that is not settled.
 
@@ -159,7 +159,7 @@
         process may have counted before there was a holder, and append it a moment later.
         """
         now = clock.read_wall_ms() // self._settings.window_ms
-        unsettled = (clock.read_wall_ms() - self._wait_ms) // self._settings.window_ms
+        unsettled = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
         reported = self._fold.newest_reported
         if reported is not None:
             return max(now - usage_fold.MOST_WINDOWS, reported + 1 - _REPEATED_WINDOWS)
@@ -174,17 +174,17 @@
             newest = self._fold.newest_reported
             if newest is not None and window <= newest:
                 return True
-            if not self._decide(window):
+            if not self._append_report(window):
                 return False
             counts = self._fold.find_report(window)
         return counts is not None and self._send(platform.UsageReport(window, counts))
 
-    def _decide(self, window: int) -> bool:
+    def _append_report(self, window: int) -> bool:
         """Append a window's report and read it back: another one may stand before it."""
-        if clock.read_now() < self._settled_at:
+        if clock.read_now() < self._decide_not_before:
             return False
         counts = self._fold.sum_window(window)
-        return self._append(usage_records.Reported(window, counts)) and self._read_on()
+        return self._append(usage_records.Reported(window, counts)) and self._read_records()
 
     def _send(self, report: platform.UsageReport) -> bool:
         """
@@ -196,7 +196,7 @@
         if tenure is None:
             return False
         holder = platform.DutyHolder(self._settings.holder, tenure.fencing)
-        deadline = tenure.deadline.earlier(_CALL_SECONDS)
+        deadline = tenure.deadline.earlier(_CALL_TIMEOUT_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
             event="usage-reported",
@@ -211,29 +211,29 @@
 
     def _find_tenure(self) -> lease.Tenure | None:
         tenure = self._lease.find_tenure()
-        if tenure is None or tenure.deadline.remaining < _LEAST_TENURE_SECONDS:
+        if tenure is None or tenure.deadline.remaining < _MIN_TENURE_SECONDS:
             return None
         return tenure
 
     def _append(self, record: usage_records.UsageRecord) -> bool:
         content = usage_records.encode_record(record)
-        deadline = clock.start_deadline(_APPEND_SECONDS)
+        deadline = clock.start_deadline(_APPEND_TIMEOUT_SECONDS)
         appended = self._log.append(USAGE_TOPIC, _PARTITION, [content], deadline)
         if appended.is_error():
             log.warn_bounded("usage-unappended", appended.error.detail)
         return appended.is_ok()
 
-    def _read_on(self) -> bool:
+    def _read_records(self) -> bool:
         """Read to the end of the records; return success."""
-        deadline = clock.start_deadline(_READ_SECONDS)
+        deadline = clock.start_deadline(_READ_TIMEOUT_SECONDS)
         while True:
             page = self._log.read(USAGE_TOPIC, _PARTITION, self._next_offset, 0, deadline)
             if page.is_error():
                 log.warn_bounded("usage-unread", page.error.detail)
-                self._settled_at = clock.read_now() + _LEAST_WAIT_SECONDS
+                self._decide_not_before = clock.read_now() + _MIN_WAIT_SECONDS
                 return False
             for record in page.ok.records:
-                self._take(record)
+                self._apply_record(record)
             self._next_offset = max(self._next_offset, page.ok.next_offset)
             if self._next_offset >= page.ok.end_offset:
                 break
@@ -241,7 +241,7 @@
                 return False
         return True
 
-    def _take(self, record: recordlog.RawRecord) -> None:
+    def _apply_record(self, record: recordlog.RawRecord) -> None:
         decoded = usage_records.decode_record(record.content)
         if decoded.is_ok():
             self._fold.apply(decoded.ok)
