--- a/features/steps/organisations_steps.py
+++ b/features/steps/organisations_steps.py
@@ -121,7 +121,7 @@
 def keep_text(context):
     start = submission.PartialText(0, "text", 1, ((1, 1),))
     context.texts = item_texts.TextCache()
-    context.texts.keep([item_texts.KnownText("red", "i", "m", start, None)])
+    context.texts.add([item_texts.KnownText("red", "i", "m", start, None)])
 
 
 @behave.then("{organisation} finds {found} for item i")
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -153,7 +153,7 @@
             "up": lambda: setattr(faults, "is_down", False),
             "kill": lambda: self._processes.pop(name),
             "start": lambda: self._processes.update({name: Process(self, name)}),
-            "leave": lambda: self._processes[name].reporter.leave(),
+            "leave": lambda: self._processes[name].reporter.release_lease(),
             "freeze": lambda: setattr(self._processes[name], "is_frozen", True),
             "thaw": lambda: setattr(self._processes[name], "is_frozen", False),
             "dies-sending": lambda: self.dying.add(name),
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -1,4 +1,4 @@
-"""Runs admitted requests on a sidecar's backend server, as many at once as it has slots."""
+"""Runs admitted requests on a sidecar's backend server, one at a time for each slot."""
 
 import threading
 
@@ -9,18 +9,20 @@
 from oleanderdeal import pending_runs, runners
 
 _TAKE_TIMEOUT_SECONDS = 0.2
+"""Longest wait of a slot for work before it checks for a stop and answers expired requests."""
 _INITIAL_SERVICE_MS = 20.0
+"""Predicted time of a service call before any has finished; low, see `_INITIAL_TOKEN_MS`."""
 _INITIAL_TOKEN_MS = 1.0
-"""The prediction before any work was done, low on purpose: work predicted to take longer than its
-budget is refused even when nothing else waits."""
+"""Predicted time of a token before any generation has finished. It is low on purpose, because work
+that is predicted to exceed its budget is refused even when the queue is empty."""
 
 
 class Executor:
     """
-    Admits, queues and runs requests; every one ends with exactly one answer.
+    Admits, queues and runs requests; each gets exactly one answer.
 
-    The admission queue bounds how many wait; what it refuses, displaces or lets expire is
-    answered "not run" at once.
+    The admission queue bounds how many wait. A request that it refuses, displaces or lets expire
+    is answered "not run" at once.
     """
 
     def __init__(
@@ -40,12 +42,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits or runs, and every answer is on its way."""
+        """Whether no request waits or runs and every answer has been sent."""
         with self._lock:
             return not self._pending and not self._answers_in_flight
 
     def start(self) -> None:
-        """Start one task a slot."""
+        """Start one task for each slot."""
         for _ in range(self._slots):
             self._group.keep(self._serve_slot)
 
@@ -61,7 +63,7 @@
         self._preempt_for(pending.run.priority)
 
     def cancel(self, work_id: str) -> None:
-        """Stop a request that nobody waits for; one that may not be repeated goes on."""
+        """Stop a repeatable request that its entry no longer wants; others run to their end."""
         with self._lock:
             pending = self._pending.get(work_id)
         if pending is None or not pending.run.repeatable:
@@ -76,16 +78,16 @@
 
     def refuse_waiting(self) -> None:
         """
-        Refuse all that waits as not run, so that the entries take it elsewhere.
+        Refuse all waiting requests as not run, so that entries send them to other sidecars.
 
-        It could be finished here, but to the backend server it would be new work, some of it long
-        after it was told to leave.
+        They could still be run here, but the backend server would get new work after it was told
+        to leave, for some of them long after.
         """
         self._queue.drop_waiting()
         self._answer_dropped()
 
     def _preempt_for(self, priority: int) -> None:
-        """Give up sampling for interactive work; what was sampled is resumed elsewhere."""
+        """Cancel a repeatable request of lower priority; it is resumed at another sidecar."""
         victim = self._queue.find_preemptible(priority)
         if victim is None:
             return
@@ -114,11 +116,11 @@
 
     def _run_unless_abandoned(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """
-        Run a request unless its caller has given up, checked right before it leaves here.
+        Run a request unless its entry has gone, checked right before the backend is called.
 
-        A sidecar that was paused and goes on has requests waiting whose entry has closed its link
-        and had them made elsewhere. It began with them before the thread that reads the link came
-        to its end, and made up to 168 tokens for nobody.
+        When a suspended sidecar resumes, it may hold requests whose entry has closed its link and
+        sent them elsewhere. Before this check it started them before the thread that reads the
+        link noticed that it was closed, and generated up to 168 tokens that no one received.
         """
         if pending.is_unwanted:
             return _build_not_run("too-late")
@@ -127,7 +129,9 @@
         try:
             return runners.run_timed(self._runner, pending)
         except Exception:
-            log.logger.bind(event="run-failed", trace=pending.run.trace_id).exception("run failed")
+            log.logger.bind(event="run-failed", trace=pending.run.trace_id).exception(
+                "unexpected error while running a request"
+            )
             return messages.Answer("", messages.Outcome.UNKNOWN, 0, "internal-error", 0, b"", 0)
 
     def _answer_dropped(self) -> None:
@@ -144,10 +148,10 @@
 
     def _answer(self, work_id: str, answer: messages.Answer) -> None:
         """
-        Answer a request that was not answered yet.
+        Send the answer of a request, unless it was answered before.
 
-        It counts until the answer was sent: a sidecar that stops as soon as nothing is pending
-        would cut off the last one.
+        The request counts as in flight until its answer is sent. Otherwise a sidecar that stops
+        once nothing is pending could close the link before the last answer is sent.
         """
         with self._lock:
             pending = self._pending.pop(work_id, None)
--- a/programs/oleanderdeal/oleanderdeal/help_texts.py
+++ b/programs/oleanderdeal/oleanderdeal/help_texts.py
@@ -1,4 +1,4 @@
-"""The help texts, made from the table of settings."""
+"""Formats the help texts of the program from the table of settings."""
 
 from oleanderdeal import exit_codes, setting_table
 
@@ -16,12 +16,12 @@
 
 
 def summarize(command: setting_table.Command) -> str:
-    """Return what a command does, in a few words."""
+    """Return a one-line summary of a command."""
     return _SUMMARIES[command]
 
 
 def format_usage() -> str:
-    """Return the help of the program as a whole."""
+    """Return the help text of the whole program."""
     width = max(len(command) for command in setting_table.Command)
     lines = ["usage: oleanderdeal COMMAND [--setting=value ...]", "", "commands:"]
     for command in setting_table.Command:
@@ -31,7 +31,7 @@
 
 
 def format_command_help(command: setting_table.Command) -> str:
-    """Return the help of one command: each setting with unit, bounds, default and variable."""
+    """Return a command's help text, with unit, bounds and default of each setting."""
     lines = [f"usage: oleanderdeal {command} [--setting=value ...]", "", _SUMMARIES[command], ""]
     for setting in setting_table.list_settings(command):
         lines += _format_setting(setting)
@@ -47,7 +47,7 @@
 
 
 def describe_values(setting: setting_table.Setting) -> str:
-    """Return what a setting may be, with its unit."""
+    """Return the permitted values of a setting, with their unit."""
     if setting.kind is setting_table.Kind.CHOICE:
         return ", ".join(str(choice) for choice in setting.choices)
     if setting.kind is setting_table.Kind.INTEGER:
@@ -58,7 +58,7 @@
 
 
 def describe_default(setting: setting_table.Setting) -> str:
-    """Return what holds where a setting is not given."""
+    """Return the default of a setting, or that it is required."""
     if setting.default is None:
         return "must be given"
     if setting.default == "":
--- a/programs/oleanderdeal/oleanderdeal/key_ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -1,9 +1,9 @@
 """
-What became of each non-repeatable key at this sidecar incarnation.
+Records the state of each non-repeatable key at this sidecar incarnation.
 
-The ledger is why a key runs at most once: a claim in the log names one incarnation, and that
-incarnation's ledger starts a key once or seals it. A sealed key never starts, so whoever was told
-"not run" by a seal may let another sidecar run it.
+The ledger ensures that a key runs at most once: a claim in the log names one incarnation, and the
+ledger of that incarnation either starts the key once or seals it. A sealed attempt never starts,
+so an entry that is told "not run" because of a seal may claim the key for another sidecar.
 """
 
 import collections
@@ -18,7 +18,9 @@
 Listener = collections.abc.Callable[[messages.Answer], None]
 
 _MAX_LISTENERS_PER_KEY = 16
+"""Requests that may wait for the answer of one running key; further ones get "unknown"."""
 _EPOCHS_PER_LEDGER = 16
+"""A new ticket epoch begins after as many tickets as the ledger's keys divided by this."""
 
 REASON_SEALED = "sealed"
 REASON_OTHER_INCARNATION = "incarnation-gone"
@@ -29,16 +31,19 @@
 
 
 class KeyState(enum.Enum):
-    """How far a key has come."""
+    """State of a key at this sidecar."""
 
     STARTED = "started"
+    """The request is queued or running."""
     ENDED = "ended"
+    """The request has run, or may have run, and has an answer."""
     SEALED = "sealed"
+    """No attempt so far has run or will run; a higher attempt may start."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _ClaimPosition:
-    """A shard and the offset of a claim in it."""
+    """The shard and offset of a claim, or `TICKET_SHARD` and the epoch of a ticket."""
 
     shard: int
     offset: int
@@ -49,25 +54,26 @@
     attempt: int
     digest: str
     positions: list[_ClaimPosition]
-    """Where the key's claims stand, of all attempts that came here."""
+    """Claims of all attempts of the key that this ledger has received."""
     state: KeyState
     answer: messages.Answer | None
     listeners: list[Listener]
 
 
 def create_answer(outcome: messages.Outcome, reason: str) -> messages.Answer:
-    """Return an answer that no backend server gave; the link fills in the request's id."""
+    """Return an answer that did not come from a backend server; the link sets the request id."""
     return messages.Answer("", outcome, 0, reason, 0, b"", 0)
 
 
 class KeyLedger:
     """
-    Remembers keys; bounded in keys and in bytes of kept answers.
+    Keeps the state of keys, bounded by number of keys and by bytes of answers; thread-safe.
 
-    At the bound of bytes the oldest answer is dropped, and a later asker hears "unknown". At the
-    bound of keys the oldest ended key is forgotten, and every key of its shard whose claim is as
-    old or older is from then on neither started nor sealed. A key that is running is never
-    forgotten; the admission queue bounds how many there are.
+    Above the bound on bytes the oldest answer is dropped, and later requests for it are answered
+    "unknown". Above the bound on keys the oldest key that is not running is evicted; from then on
+    no unknown key of its shard with the same or an earlier claim offset is started or sealed,
+    because it may have been evicted. Running keys are never evicted; the admission queue bounds
+    their number.
     """
 
     def __init__(self, incarnation: str, max_keys: int, max_bytes: int) -> None:
@@ -86,11 +92,11 @@
 
     @property
     def ticket_epoch(self) -> int:
-        """The epoch that tickets issued now belong to."""
+        """The epoch of tickets that are issued now."""
         return self._ticket_epoch
 
     def start(self, run: messages.Run, listener: Listener) -> bool:
-        """Return whether the caller must run the key now; else the listener gets the answer."""
+        """Return whether the caller must run the key; otherwise the listener gets its answer."""
         if run.incarnation != self._incarnation:
             listener(_refuse_other_incarnation(run))
             return False
@@ -105,7 +111,7 @@
         return False
 
     def join(self, join: messages.Join, listener: Listener) -> None:
-        """Give the listener the key's answer, now or when it ends; seal an unseen key."""
+        """Pass the key's answer to the listener, now or when it ends; seal an unseen key."""
         if join.incarnation != self._incarnation:
             listener(create_answer(messages.Outcome.UNKNOWN, REASON_OTHER_INCARNATION))
             return
@@ -120,10 +126,9 @@
 
     def find(self, asked: messages.Find) -> messages.Answer:
         """
-        Return what became of a key so far, and leave an unseen one as it is.
+        Return the state of a key as an answer, without sealing an unseen key.
 
-        A key forgotten at the bound counts as unseen; it is older than the claims that any entry
-        remembers.
+        An evicted key counts as unseen; its claim is older than those that any entry remembers.
         """
         with self._lock:
             entry = self._entries.get((asked.customer, asked.key))
@@ -134,7 +139,7 @@
             return _build_ended_answer(entry, asked.digest)
 
     def end(self, run: messages.Run, answer: messages.Answer) -> None:
-        """Keep a started key's answer and hand it to everyone who waits for it."""
+        """Store a started key's answer and pass it to all its listeners."""
         with self._lock:
             entry = self._entries[run.customer, run.key]
             invariants.require(
@@ -162,7 +167,7 @@
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
 
     def _may_be_evicted(self, asked: messages.Run | messages.Join) -> bool:
-        """Tell whether this key may have been here and been forgotten."""
+        """Return whether an unknown key may have been in the ledger and evicted."""
         return asked.claim_offset <= self._evicted_offsets.get(asked.shard, -1)
 
     def _get_answer_or_listen(
@@ -199,7 +204,7 @@
         self._evict_oldest()
 
     def _count_ticket(self) -> None:
-        """Start a new epoch now and then, so that forgetting old tickets spares new ones."""
+        """Begin a new epoch at intervals, so that evicting old tickets leaves new ones valid."""
         self._tickets_in_epoch += 1
         if self._tickets_in_epoch >= max(1, self._max_keys // _EPOCHS_PER_LEDGER):
             self._tickets_in_epoch = 0
@@ -232,10 +237,10 @@
 
 def _refuse_other_incarnation(run: messages.Run) -> messages.Answer:
     """
-    Answer a request that is meant for an earlier run of this sidecar.
+    Return the answer to a request for an earlier incarnation of this sidecar.
 
-    A claimed request is sent once, so refusing it is evidence. A ticket may be sent by several
-    entries, and one of them may have reached the earlier run.
+    A claimed request is sent only once, so refusing it proves that it did not run. A request with
+    a ticket may be sent by several entries, one of which may have reached that incarnation.
     """
     is_ticket = run.shard == messages.TICKET_SHARD
     outcome = messages.Outcome.UNKNOWN if is_ticket else messages.Outcome.NOT_RUN
--- a/programs/oleanderdeal/oleanderdeal/pending_runs.py
+++ b/programs/oleanderdeal/oleanderdeal/pending_runs.py
@@ -1,4 +1,4 @@
-"""One request at a sidecar, from its arrival to its answer."""
+"""Defines a request at a sidecar, from its arrival to its answer."""
 
 import collections.abc
 import dataclasses
@@ -12,28 +12,28 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingRun:
-    """A request that waits or runs here."""
+    """A request that is queued or running at this sidecar."""
 
     work_id: str
     run: messages.Run
     deadline: clock.Deadline
     send: Sender
-    """Sends tokens to the entry that asked."""
+    """Sends tokens to the entry that sent the request."""
     answer: collections.abc.Callable[[messages.Answer], None]
-    """Ends the request; called once."""
+    """Sends the answer and ends the request; must be called exactly once."""
     cancelled: threading.Event
     is_abandoned: collections.abc.Callable[[], bool]
-    """Tells whether the entry that asked has closed its link."""
+    """Returns whether the entry that sent the request has closed its link."""
     stop_backend: collections.abc.Callable[[], None] | None = None
-    """Stops the running generation at the engine, where that is possible."""
+    """Cancels the generation at the engine; `None` while none is running."""
 
     @property
     def is_unwanted(self) -> bool:
-        """Whether nobody can use an answer any more."""
+        """Whether the request is cancelled or past its deadline, so that no answer is wanted."""
         return self.cancelled.is_set() or self.deadline.is_past
 
     def cancel(self) -> None:
-        """Stop a repeatable request; one that may not be repeated runs to its end."""
+        """Cancel a repeatable request; the executor lets others run to their end."""
         self.cancelled.set()
         stop = self.stop_backend
         if stop is not None:
--- a/programs/oleanderdeal/oleanderdeal/runners.py
+++ b/programs/oleanderdeal/oleanderdeal/runners.py
@@ -1,4 +1,4 @@
-"""How a sidecar runs a request on its backend server."""
+"""Runs a request on a sidecar's backend server: a plain service or a model engine."""
 
 import abc
 
@@ -11,14 +11,15 @@
 REASON_LABEL_UNKNOWN = "label-unknown"
 REASON_OUT_OF_ROTATION = "out-of-rotation"
 _LATE_ANSWER_SECONDS = 10.0
+"""Time past the caller's deadline for which a non-repeatable call is still waited for."""
 
 
 class Runner(abc.ABC):
-    """Runs one request to its end; blocks until then."""
+    """Runs requests on one kind of backend server; `run` blocks until the request ends."""
 
     @abc.abstractmethod
     def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
-        """Return what became of the request."""
+        """Run the request and return its answer."""
 
 
 def _build_answer(
@@ -29,19 +30,19 @@
 
 class ServiceRunner(Runner):
     """
-    Calls the plain service once.
+    Calls a plain service once for each request.
 
-    A call that may not be repeated is waited for ten seconds past its caller's deadline. Were it
-    given up at the deadline, the service would end it all the same, and a caller that asks again
-    would hear "unknown" for ever; so it gets the whole answer, late. The slot stays taken as long,
-    which is no loss: the service is still at work.
+    A non-repeatable call is waited for until ten seconds past its caller's deadline. If it were
+    abandoned at the deadline, the service would still finish it, and a caller that retries would
+    be told "unknown" for ever; with the wait a retry gets the answer. The slot is held meanwhile,
+    which loses nothing, because the service is still working on the call.
     """
 
     def __init__(self, backend: service.Service) -> None:
         self._backend = backend
 
     def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
-        """Call the service; a lost answer makes the outcome unknown, never a second call."""
+        """Call the service once; if its answer is lost the outcome is "unknown"."""
         run = pending.run
         late_seconds = 0.0 if run.repeatable else _LATE_ANSWER_SECONDS
         deadline = clock.start_deadline(pending.deadline.remaining + late_seconds)
@@ -60,14 +61,14 @@
 
 
 class EngineRunner(Runner):
-    """Streams tokens from the model engine, each with the weights that made it."""
+    """Streams tokens from a model engine, each labelled with its weight version."""
 
     def __init__(self, backend: engine.Engine, keeper: weights.WeightKeeper) -> None:
         self._backend = backend
         self._keeper = keeper
 
     def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
-        """Generate; what was streamed before a failure can be resumed elsewhere."""
+        """Stream a generation; after a failure the tokens sent so far can be resumed elsewhere."""
         terms = pending.run.generation
         if terms is None:
             return _build_answer(messages.Outcome.NOT_RUN, "not-a-generation")
@@ -92,14 +93,15 @@
         before: weights.WeightState,
     ) -> messages.Answer:
         """
-        Pass tokens on while they are made.
+        Forward tokens to the entry as the engine produces them.
 
-        `before` was read before the engine was asked. Read once its answer began, it could be
-        the state after a load that the first tokens came before.
+        `before` must be read before the engine is called: read after its answer begins, it could
+        be the state after a weight load that the first tokens precede.
 
-        An engine that states versions and stops, or starts, in mid-stream has no whole weights
-        for a part of it. Going on past the part would leave a hole in the text; what was passed
-        on before it is whole, and the rest is made elsewhere.
+        An engine that states versions for only part of a stream had incompletely loaded weights
+        during the other part. Skipping that part would leave a gap in the text, so the stream is
+        cancelled there; the tokens sent before it are complete, and the rest is generated
+        elsewhere.
         """
         sent = 0
         unlabelled: list[engine.Chunk] = []
@@ -131,10 +133,10 @@
         before: weights.WeightState,
     ) -> messages.Answer:
         """
-        Send what the engine did not label, if its weights can't have changed meanwhile.
+        Send the unlabelled tokens if the engine's weights can't have changed meanwhile.
 
-        The engine is asked for its version again; a version that differs, or an order that was
-        open at any time, means some tokens may come from either, and all are thrown away.
+        The engine is asked for its version again. If it differs, or a weight order was open at any
+        time, some tokens may come from either version, and all unlabelled ones are discarded.
         """
         if unlabelled:
             version = self._keeper.confirm_unchanged(before)
@@ -168,7 +170,7 @@
 
 
 def run_timed(runner: Runner, pending: pending_runs.PendingRun) -> messages.Answer:
-    """Run a request and note how long its backend server took."""
+    """Run a request; return its answer with the milliseconds that the backend server took."""
     started_at = clock.read_now()
     answer = runner.run(pending)
     service_ms = int((clock.read_now() - started_at) * 1000)
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Collects what all entries counted of use, and reports it in the name of one of them."""
+"""Collects the usage counts of all entries in the log; one entry reports them to the platform."""
 
 import dataclasses
 import threading
@@ -12,42 +12,49 @@
 USAGE_TOPIC = "oleander.usage"
 LEASE_TOPIC = "oleander.duties"
 _PARTITION = 0
-"""Of both topics: one order of all counts and reports, and one lease for the duty."""
+"""Partition of both topics. With one, all counts and reports have one order, and one lease covers
+the duty of reporting."""
 _FLUSH_INTERVAL_SECONDS = 0.5
-"""What a process that is killed leaves uncounted at most."""
+"""A killed process loses at most the counts of this interval."""
 _APPEND_TIMEOUT_SECONDS = 1.0
 _READ_TIMEOUT_SECONDS = 1.0
 _REPORT_INTERVAL_SECONDS = 0.2
+"""Pause between two checks for windows that are due."""
 _LEASE_CHECK_SECONDS = 0.5
+"""Pause between two checks whether the duty falls to this process."""
 _CALL_TIMEOUT_SECONDS = 0.8
 _MIN_TENURE_SECONDS = 1.0
-"""With less of the lease left no call is begun: it could arrive when a successor may call."""
+"""Shortest remaining lease with which a call is started. A later call could reach the platform
+when a successor may already report."""
 _TAKEOVER_MARGIN_SECONDS = 1.0
-"""On top of a takeover of the lease, for a successor's reads and calls."""
+"""Time for a successor's reads and calls, added to the time that taking over the lease needs."""
 _MIN_WAIT_SECONDS = 1.0
-"""From the end of a window to its report: processes append what they counted within this time."""
+"""Shortest time from the end of a window to its report. Processes append the counts of the window
+within this time."""
 _REPEATED_WINDOWS = 2
-"""A new holder repeats so many reports: it can't know whether the platform has them."""
+"""Number of reports that a new holder sends again, as it can't know whether the platform received
+them."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class UsageSettings:
-    """How use is to be reported."""
+    """Timing and identity for usage reports."""
 
     window_ms: int
+    """Length of a window."""
     due_ms: int
-    """A window is due so long after its end."""
+    """Time after the end of a window by which its report is due."""
     holder: str
-    """The name in which this process does the duty."""
+    """The name under which this process reports."""
 
 
 class UsageReporter:
     """
-    Reports each window once, with the same counts whoever reports it.
+    Reports each window with the same counts, whichever process reports it.
 
-    Each process appends what it counted to the log. The holder of the lease sums a window, appends
-    the report, and sends what the log holds as the window's first report: a holder that was
-    suspended between the two, and its successor, can't send different counts for one window.
+    Each process appends its counts to the log. The holder of the lease sums a window, appends the
+    report to the log, and sends the first report of the window that the log holds. So a holder
+    that was suspended between the two steps and its successor can't send different counts.
     """
 
     def __init__(
@@ -77,16 +84,17 @@
         self._next_window: int | None = None
 
     def flush_repeatedly(self) -> None:
-        """Append what was counted every so often, until the group stops."""
+        """Append the counts at intervals, until the group stops."""
         while not self._group.is_stopping:
             self._group.pause(_FLUSH_INTERVAL_SECONDS)
             self.flush()
 
     def flush(self) -> bool:
         """
-        Append what was counted; return whether nothing waits any more.
+        Append the counts since the last call; return whether none are left to append.
 
-        Counts without an answer are appended again under the same number before any later ones.
+        Counts whose append was not acknowledged are appended again, with the same sequence number,
+        before any later ones.
         """
         with self._flush_lock:
             if not self._unconfirmed:
@@ -101,16 +109,17 @@
             return True
 
     def keep_lease(self) -> None:
-        """Hold the lease while the duty falls to this process, until the group stops."""
+        """Claim and renew the lease while this process owns the duty, until the group stops."""
         while not self._group.is_stopping and self._lease.is_wanted:
             self._group.pause(self.try_hold_lease())
 
     def try_hold_lease(self) -> float:
         """
-        Claim or renew the lease where it falls to this process; return when to try again.
+        Claim or renew the lease if this process should hold it; return the seconds to wait.
 
-        Who held it last goes on after an outage of the log: it may claim at once, while another
-        process has to wait for the term and the gap, and windows would be late.
+        After an outage of the log the last holder also claims the lease, whoever owns the duty. It
+        may claim at once, while another process must wait for the term and the gap, which would
+        make windows late.
         """
         pause = 0.0
         if self._ownership.owns(_PARTITION) or self._lease.was_held_last:
@@ -118,17 +127,17 @@
         return pause or _LEASE_CHECK_SECONDS
 
     def report_repeatedly(self) -> None:
-        """Report the windows that are due while the lease is held, until the group stops."""
+        """Report the windows that are due at intervals, until the group stops."""
         while not self._group.is_stopping:
             self._group.pause(_REPORT_INTERVAL_SECONDS)
             self.report_due()
 
     def release_lease(self) -> None:
-        """Report no more, and leave the lease to another process."""
+        """Stop reporting and release the lease for another process."""
         self._lease.release()
 
     def report_due(self) -> None:
-        """Report the windows whose counts are in, the oldest first, where the lease is held."""
+        """Report the windows whose counts are complete, the oldest first, if the lease is held."""
         if self._find_tenure() is None:
             self._next_window = None
             return
@@ -146,17 +155,18 @@
 
     @property
     def _report_delay_ms(self) -> int:
-        """Leave a successor the time to report, should this holder be lost just before."""
+        """Delay of a report after its window, short enough that a successor could still report."""
         takeover_seconds = self._lease.takeover_seconds + _TAKEOVER_MARGIN_SECONDS
         left_ms = self._settings.due_ms - int(takeover_seconds * 1000)
         return max(left_ms, int(_MIN_WAIT_SECONDS * 1000))
 
     def _find_first_window(self) -> int:
         """
-        Return where a new holder begins: at the first window that is not settled.
+        Return the first window that a new holder reports.
 
-        Where nothing was reported before, that is the oldest one whose counts may still come: a
-        process may have counted before there was a holder, and append it a moment later.
+        If windows were reported before, it repeats the last ones. Otherwise it begins at the
+        oldest window whose counts may still arrive: a process may have counted before there was a
+        holder, and append its counts a moment later.
         """
         now = clock.read_wall_ms() // self._settings.window_ms
         unsettled = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
@@ -168,7 +178,7 @@
         return max(now - usage_fold.MOST_WINDOWS, oldest)
 
     def _report_window(self, window: int) -> bool:
-        """Report one window; return whether it is settled."""
+        """Report one window; return whether nothing is left to do for it."""
         counts = self._fold.find_report(window)
         if counts is None:
             newest = self._fold.newest_reported
@@ -180,7 +190,7 @@
         return counts is not None and self._send(platform.UsageReport(window, counts))
 
     def _append_report(self, window: int) -> bool:
-        """Append a window's report and read it back: another one may stand before it."""
+        """Append a window's report and read the log, as another process's may precede it."""
         if clock.read_now() < self._decide_not_before:
             return False
         counts = self._fold.sum_window(window)
@@ -188,9 +198,9 @@
 
     def _send(self, report: platform.UsageReport) -> bool:
         """
-        Send a report; return whether the platform has it, or never will.
+        Send a report; return whether the platform has received it or has rejected it for good.
 
-        The lease is looked up right before the call leaves, and the call ends before it does.
+        The lease is checked right before the call, and the call's deadline is before its end.
         """
         tenure = self._find_tenure()
         if tenure is None:
@@ -224,7 +234,7 @@
         return appended.is_ok()
 
     def _read_records(self) -> bool:
-        """Read to the end of the records; return success."""
+        """Apply all records up to the end of the topic; return success."""
         deadline = clock.start_deadline(_READ_TIMEOUT_SECONDS)
         while True:
             page = self._log.read(USAGE_TOPIC, _PARTITION, self._next_offset, 0, deadline)
