--- a/features/caller_requests.feature
+++ b/features/caller_requests.feature
@@ -1,10 +1,10 @@
-Feature: What callers send is checked as a whole
-  Every fault of a request is reported in one answer, with its place; nothing is run.
+Feature: Validation of callers' requests
+  All problems of a request are reported in one answer, each with its place, and nothing is run.
 
-  Scenario Outline: A request with faults
+  Scenario Outline: An invalid request
     Given a caller's request to <operation> with key <key>, timeout <timeout> and body <body>
     When the caller's request is read
-    Then the caller's faults are at <places>
+    Then the caller's request has problems at <places>
 
     Examples:
       | operation  | key        | timeout   | body                                               | places                                                                       |
@@ -23,10 +23,10 @@
       | suggestion | none       | none      | {"prompt": "a", "max_tokens": 0}                   | body.max_tokens                                                              |
       | suggestion | with space | soon      | {"prompt": "a", "max_tokens": 1, "prefix": 7}      | header Idempotency-Key, header Request-Timeout-Ms, body.prefix               |
 
-  Scenario Outline: A request without faults
+  Scenario Outline: The timeout of a valid request is limited by its operation
     Given a caller's request to <operation> with key <key>, timeout <timeout> and body <body>
     When the caller's request is read
-    Then the caller has at most <ms> ms
+    Then the caller's request has a deadline within <ms> ms
 
     Examples:
       | operation  | key      | timeout | body                             | ms   |
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,10 +1,10 @@
-Feature: What became of a key at its sidecar
-  The ledger starts a key once or seals it; everything else about at-most-once rests on that.
+Feature: The ledger of non-repeatable keys at a sidecar
+  The ledger starts a key once or seals it; at-most-once execution depends on this.
 
-  Scenario Outline: A message for a key gets the answer that its history calls for
-    # A caller tries again through another entry, or an entry wakes up late and sends what it had
-    # claimed. Whatever the order, the key's request starts at most once, and "not-run" is only
-    # said of a key that never starts afterwards.
+  Scenario Outline: The answer to a message depends on the key's earlier messages
+    # A caller may retry through another entry, and a suspended entry may send a claimed request
+    # late. In any order the key starts at most once for each attempt, and an attempt that was
+    # answered "not-run" never starts afterwards.
     Given a ledger of incarnation "now"
     When the ledger's key sees <history>
     Then the ledger's last answer is <answer>
@@ -47,9 +47,9 @@
       | join 1, find                             | not-run sealed                    | 0      |
       | run 1, find with another body            | unknown key-used-for-another-body | 1      |
 
-  Scenario Outline: At its bounds the ledger says unknown rather than start or seal
-    # The key ran, its entry was forgotten to make room, and its caller comes back. Sealing it
-    # now would let it run a second time elsewhere.
+  Scenario Outline: Evicted keys and answers are reported as unknown
+    # The key ran and was evicted, and its caller retries. Sealing the key now would allow a second
+    # run at another sidecar.
     Given a ledger of incarnation "now" that keeps <keys> keys and <bytes> bytes
     When 3 other keys run and end after the ledger's key has ended
     And the ledger's key sees <history>
@@ -63,9 +63,9 @@
       | 9    | 4     | join 1  | unknown answer-no-longer-kept |
       | 9    | 1000  | join 1  | done                          |
 
-  Scenario: A ticket's key that went on by a claim is forgotten as both
-    # The ticket was sealed, its key then ran here by a claim and was forgotten to make room. The
-    # ticket comes once more, late; were only the claim remembered as forgotten, it would start.
+  Scenario: A ticket's key that was then claimed is evicted as ticket and as claim
+    # The ticket was sealed, then its key ran here by a claim and was evicted. When the ticket arrives
+    # again late, it would start if only the claim were recorded as evicted.
     Given a ledger of incarnation "now" that keeps 2 keys and 1000 bytes
     When the ledger's key sees ticket, end not-run, run 1, end done
     And 3 other keys run and end
--- a/features/once_issued_matrix.feature
+++ b/features/once_issued_matrix.feature
@@ -1,16 +1,16 @@
-Feature: A request that may not be repeated, with an issued key, or at an entry without room
-  The same steps, checks and words as in the matrix of processes and links (once_matrix).
+Feature: A non-repeatable request runs at most once, with an issued key or at a busy entry
+  Steps, checks and events are those of once_matrix.feature.
 
   Scenario Outline: An issued key names the sidecar that may start it
-    # No claim is made, so the log may be down; each entry sends the request to the sidecar that the key
-    # names, which starts it once. With that run of the sidecar everything it knew of the key is gone,
-    # and the caller is told unknown. What the sidecar sealed goes on by a claim.
-    Given a deployment in which every connection of a once request can fail
-    And the once request has an issued key
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # No claim is needed, so the log may be down: each entry sends the request to the sidecar that the
+    # key names, which starts it once. When that incarnation ends, its state of the key is lost and the
+    # caller is told "unknown". A key that the sidecar has sealed continues with a claim.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    And the non-repeatable request has an issued key
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                   | events                                                                     | answers            | last    | runs |
@@ -31,13 +31,13 @@
 
   Scenario Outline: An issued key whose sidecar can't reach its service
     # The sidecar refuses and seals the key, so it may be claimed for the other sidecar. While the log is
-    # down it can't be, and the caller is told that it did not run.
-    Given a deployment in which every connection of a once request can fail but those to the services
-    And the once request has an issued key
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # down it can't be claimed, and the caller is told "not run".
+    Given a deployment in which every connection of a non-repeatable request can fail but those to the services
+    And the non-repeatable request has an issued key
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step   | events                                                                     | answers          | last    | runs |
@@ -47,25 +47,25 @@
       | unsent | kill service, log refuse, ask entry-a 30000, await 1, ask entry-b, await 2 | not-run, not-run | done    | 1    |
 
   Scenario Outline: An entry has no thread to spare
-    # The entry refuses at once for want of threads. That is no reason to say that a key did not run
-    # which it knows to have been claimed.
-    Given a deployment whose entries have http_threads set to 10 for a once request
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The entry refuses requests at once because all its threads are busy. It must not answer "not run"
+    # for a key that it knows to be claimed.
+    Given a deployment whose entries have http_threads set to 10 for a non-repeatable request
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step     | events                                    | answers                  | last | runs |
       | unsent   | hold, crowd entry-b, ask entry-b, await 1 | not-run entry-busy       | done | 1    |
       | answered | hold, crowd entry-b, ask entry-b, await 2 | done, unknown entry-busy | done | 1    |
 
-  Scenario: An issued key outlives the claims that are kept, and is never run again
-    # A caller comes back after more claims than any entry remembers. Its key names the sidecar run
-    # that started it, which still has the answer; no claim is asked for.
-    Given a deployment whose entries have claim_window set to 100 for a once request
-    And the once request has an issued key
-    When the once request is answered, and then others 150, ask entry-b, await 2
-    And the once faults are over
-    Then the once answers are done, done
-    And a last once retry is answered done, after 1 runs in all
+  Scenario: An issued key is never run again after the claim window has passed
+    # The caller retries after more claims than any entry keeps. Its key names the sidecar incarnation
+    # that started it, which still has the answer; no claim is needed.
+    Given a deployment whose entries have claim_window set to 100 for a non-repeatable request
+    And the non-repeatable request has an issued key
+    When the non-repeatable request is answered, and then others 150, ask entry-b, await 2
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers done, done
+    And a final retry of the non-repeatable request is answered done, after 1 runs in total
--- a/features/once_log_matrix.feature
+++ b/features/once_log_matrix.feature
@@ -1,16 +1,16 @@
-Feature: A request that may not be repeated, while the log or the way to it fails
-  The same steps, checks and words as in the matrix of processes and links (once_matrix). What an
-  entry knows of a key it has read from the log; these rows are about what it does not know.
+Feature: A non-repeatable request runs at most once while the log or its links fail
+  Steps, checks and events are those of once_matrix.feature. An entry knows claims only from the log;
+  these rows cover keys whose claims an entry can't read.
 
   Scenario Outline: The log is down, slow, or its answers are lost
-    # A claim that is not read back is never acted on, even when its record turns up late; the refusal
-    # comes at once, long before a deadline of half a minute. A claim whose append had its effect
-    # without an answer is read back and goes on.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # A request is never sent for a claim that was not read back, even if its record appears late; it is
+    # refused at once, long before its deadline of half a minute. If the append of a claim succeeds but
+    # its answer is lost, the claim is read back and the request is sent.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                 | events                                                              | answers                                  | last    | runs |
@@ -35,13 +35,13 @@
       | answered             | log refuse, ask entry-b, await 2                                    | done, done                               | done    | 1    |
 
   Scenario Outline: Both entries are asked at once
-    # Both claim the key before either reads the other's claim. The log's order decides; the entry that
-    # comes second joins the first one's run and gives the same answer.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # Both entries claim the key before either reads the other's claim. The first claim in the log
+    # counts; the other entry waits for that run and returns the same answer.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step     | events                                                                                                                                              | answers       | last | runs |
@@ -52,13 +52,13 @@
       | unsent   | hold-open log-entry-b, ask entry-a, await 1, cut link, peers 1, ask entry-b 1500, claims 2, heal log-entry-b, await 2                               | done, unknown | done | 1    |
 
   Scenario Outline: A claim is appended and not read back
-    # The log answers the append, and the entry can't read the stream. Another entry's claim stood first
-    # and its request has run. To act on the append's success alone would run the key a second time.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The append succeeds but the entry can't read the stream, in which another entry's claim comes first
+    # and has run. Sending the request because the append succeeded would run the key twice.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step   | events                                                                                    | answers       | last    | runs |
@@ -68,14 +68,14 @@
       | unsent | hold-open log-entry-a, ask entry-a 1000, await 1, ask entry-b, await 2                    | not-run, done | done    | 1    |
 
   Scenario Outline: An entry that can't read the log is asked about a key that ran
-    # The caller lost the answer and asks another entry, which does not know of the claim: its link to
-    # the log is cut, or it has just been started. It may not say that the request did not run; it asks
-    # the sidecars, and where one that may have run it is gone, it says unknown, also of a new key.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The caller lost the answer and retries at another entry that does not know the claim, because its
+    # link to the log is cut or it has just started. It must not answer "not run" but ask the sidecars;
+    # if one that may have run the key has ended, it answers "unknown", also for new keys.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step     | events                                                                                                              | answers                        | last    | runs |
@@ -89,7 +89,7 @@
       | unsent   | log refuse, kill desk-a, ask entry-b, await 1                                                                       | unknown                        | done    | 1    |
 
   Scenario: Many keys are each sent to both entries at once
-    # Two entries that claim the same key at the same moment must not refuse it in turn.
-    Given a deployment in which every connection of a once request can fail
-    When 20 once requests are each sent to both entries at the same time
-    Then each of the once requests ran once, and both entries gave its answer
+    # Guards against two entries that seal each other's attempts in turn until both refuse the key.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When 20 non-repeatable requests are each sent to both entries at the same time
+    Then each of the non-repeatable requests ran once, and both entries gave its answer
--- a/features/once_matrix.feature
+++ b/features/once_matrix.feature
@@ -1,22 +1,22 @@
-Feature: A request that may not be repeated, with every fault at every step
-  The request of one key is brought to a step through entry-a, then faults happen and the caller
-  asks again, and at last everything is mended and the caller asks once more. Whatever the order,
-  the services run the key once at most; every whole answer is the key's own and always the same; a
-  refusal as not run comes only while the key has not run, and without a retry it never does.
-  The steps: unsent, received (its claim is held before the log), appended (the claim stands, the
-  entry can't see it), read back (the entry is paused with the claim in its socket), dispatched
-  (held before the sidecar), overtaken (held on a connection that is given up), running, finished
-  (the service's answer is held), returned (the sidecar's answer is held), answered.
+Feature: A non-repeatable request runs at most once, whichever process or link fails
+  A request is sent through entry-a and brought to a step; then faults happen, the caller may retry,
+  all faults end, and the caller retries a last time. In every case the services run the key at most
+  once, all complete answers are equal and belong to the key, "not run" is answered only while the
+  key has not run, and a key that was answered "not run" does not run unless the caller retries.
+  Steps: unsent; received (the claim is held on its way to the log); appended (the log has the claim,
+  the entry can't read it); read back (the entry is paused with the claim in its socket); dispatched
+  (held before the sidecar); overtaken (held on a connection that is replaced); running; finished
+  (the service's answer is held); returned (the sidecar's answer is held); answered.
 
   Scenario Outline: The entry dies
-    # The caller's connection breaks and it asks entry-b, which finds the claim and asks the claimed
-    # sidecar. What never came there is sealed and claimed anew; what ran is answered from there.
-    # A claim or a request that the dead entry sent may still arrive afterwards, and must not run.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The caller loses its connection and retries through entry-b, which reads the claim and asks the
+    # claimed sidecar. If the request never arrived there, its key is sealed and claimed again; if it
+    # ran, the sidecar answers. A late claim or request of the dead entry must not run.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step       | events                                                                                  | answers            | last    | runs |
@@ -37,15 +37,15 @@
       | returned   | kill entry-a, ask entry-b                                                               | cut, done          | done    | 1    |
       | answered   | kill entry-a, ask entry-b, await 2                                                      | done, done         | done    | 1    |
 
-  Scenario Outline: The entry is paused and goes on after its work was taken over
-    # The caller asks entry-b, which seals the key where entry-a meant to run it and runs it elsewhere,
-    # or joins the run. Then entry-a goes on with all it believed before, its deadline past or not; it
-    # must neither run the key again nor say that it did not run.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+  Scenario Outline: The entry is paused and resumes after another entry has taken over
+    # The caller retries through entry-b, which seals the key at the sidecar that entry-a chose and runs
+    # it elsewhere, or waits for the run there. Then entry-a resumes with outdated state, before or after
+    # its deadline. It must neither run the key again nor answer that it did not run.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                  | events                                                                     | answers            | last         | runs |
@@ -62,14 +62,14 @@
       | returned              | freeze entry-a, drop link, heal link, ask entry-b, await 2, thaw entry-a   | done, done         | done         | 1    |
 
   Scenario Outline: The sidecar dies or is paused
-    # Only the claimed incarnation knows whether the key ran there. Once it is gone the caller is told
-    # unknown, now and later, and never has the key run a second time; before the request was sent, the
-    # next attempt goes elsewhere. A new incarnation refuses what an entry claimed for the old one.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # Only the claimed incarnation knows whether the key ran. After it has ended, the caller is always
+    # told "unknown" and the key is never run again; if the request was not yet sent, the next attempt
+    # goes to another sidecar. A new incarnation refuses requests claimed for the old one.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                   | events                                                                                     | answers            | last         | runs |
@@ -88,13 +88,13 @@
       | running                | freeze sidecar, ask entry-b, thaw sidecar                                                  | done, done         | done         | 1    |
 
   Scenario Outline: The service dies or its connection breaks
-    # A call whose connection opened may have run, so the key's outcome is unknown for good, however
-    # often the caller asks; unless the answer still comes, late, and then a retry has it.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # A call whose connection was opened may have run, so the outcome stays "unknown" however often the
+    # caller retries, unless the service's answer still arrives late; a retry then returns it.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                 | events                                           | answers          | last    | runs |
@@ -106,13 +106,13 @@
       | finished within 1000 | await 1, ask entry-b                             | unknown, done    | done    | 1    |
 
   Scenario Outline: The service can't be reached at all
-    # The connection to the service is refused, so nothing was sent: the sidecar refuses the key as not
-    # run, and the next attempt goes to the other sidecar, or the caller hears it while none is left.
-    Given a deployment in which every connection of a once request can fail but those to the services
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The connection to the service is refused, so nothing was sent. The sidecar answers "not run", and
+    # the next attempt goes to the other sidecar; if there is none, the caller is told "not run".
+    Given a deployment in which every connection of a non-repeatable request can fail but those to the services
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step     | events                                                      | answers      | last    | runs |
@@ -122,13 +122,13 @@
       | running  | kill entry-a, kill service, ask entry-b, await 2            | cut, unknown | unknown | 1    |
 
   Scenario Outline: The link between entry and sidecar breaks
-    # The entry can't know whether its request arrived. It asks over a new link; asking seals a key that
-    # did not come, so that a request still on its way on the old connection is refused.
-    Given a deployment in which every connection of a once request can fail
-    When the once request is <step>, and then <events>
-    And the once faults are over
-    Then the once answers are <answers>
-    And a last once retry is answered <last>, after <runs> runs in all
+    # The entry can't know whether its request arrived, and asks over a new link. Asking seals a key that
+    # has not arrived, so that the request is refused if it still arrives on the old connection.
+    Given a deployment in which every connection of a non-repeatable request can fail
+    When the non-repeatable request is <step>, and then <events>
+    And all faults of the non-repeatable request have ended
+    Then the non-repeatable request has the answers <answers>
+    And a final retry of the non-repeatable request is answered <last>, after <runs> runs in total
 
     Examples:
       | step                   | events                                       | answers          | last | runs |
--- a/features/once_trial.py
+++ b/features/once_trial.py
@@ -1,4 +1,4 @@
-"""One non-repeatable request that is brought to a step, meets faults, and is retried."""
+"""Drives one non-repeatable request to a step, with faults and retries, and checks its outcome."""
 
 import dataclasses
 import hashlib
@@ -15,11 +15,11 @@
 OPERATION = "charge"
 _BODY = {"charge": "a deposit"}
 _SHARDS = 4
-_LATE_SECONDS = 3.0
-"""How long after its deadline an answer may come on a busy machine."""
-_PROBES = 2
+_MAX_LATENESS_SECONDS = 3.0
+"""Longest delay of an answer past its deadline, on a busy machine."""
+_PROBE_ROUNDS = 2
 _TIMEOUT_MS = 6000
-"""Long enough for what goes on at once, on a busy machine too; short enough to wait for."""
+"""Long enough for an answer without faults on a busy machine, short enough to wait for."""
 _LONG_TIMEOUT_MS = 30_000
 LINK_AND_LOG_RELAYS = ("link-desk-a", "link-desk-b", "log-entry-a", "log-entry-b")
 RELAYS = (*LINK_AND_LOG_RELAYS, "service-desk-a", "service-desk-b")
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Submission:
-    """One time that the caller sent the key, and what came of it."""
+    """One request of the caller with the key, and its response."""
 
     entry: str
     timeout_ms: int
@@ -35,21 +35,21 @@
     response: object = None
     ended_at: float = 0.0
     runs_then: int = 0
-    """How often the key had run when the answer came."""
+    """Number of runs of the key when the answer arrived."""
     future: object = None
 
     @property
     def outcome(self):
-        """The outcome and the reason; `cut` where no answer came."""
+        """The outcome and the reason, or `cut` if there was no answer."""
         return deployments.read_outcome(self.response)
 
 
-class OnceTrial:
+class OnceRequestTrial:
     """
-    The key's story in a deployment with all relays.
+    One key in a deployment whose connections all pass through relays.
 
-    The sidecar that the claim in force names, its service and its link are called by their roles,
-    since which one it is differs from run to run.
+    The sidecar of the claim in force, its service and its link are addressed by role, because the
+    sidecar that is claimed differs between runs.
     """
 
     _numbers = itertools.count(1)
@@ -61,27 +61,27 @@
         self.relays = deployment.relays
         self.key = key or f"order-{next(self._numbers)}"
         self.submissions = []
-        self._frozen = set()
-        self._ever_frozen = set()
+        self._suspended = set()
+        self._ever_suspended = set()
         self._probes = 0
 
     @property
     def is_ticket(self):
-        """Whether the key was issued, and names the sidecar that may start it."""
+        """Whether the key is a ticket, which names the sidecar that may start it."""
         return self.key.startswith("t1~")
 
     @property
     def shard(self):
-        """The stream that the key's claims stand in."""
+        """Number of the log stream that holds the key's claims."""
         return keys.find_shard(CUSTOMER, self.key, _SHARDS)
 
     def warm_up(self):
-        """Run another key of the same stream through each entry until both have read it."""
+        """Run a key of the same stream through each entry, so that both have read the stream."""
         for entry in deployments.ENTRIES:
             support.wait_until(lambda entry=entry: self.probe(entry) == 200, f"{entry} serves")
 
     def probe(self, entry):
-        """Send another key of the same stream; return the status."""
+        """Send another key of the same stream; return the HTTP status."""
         self._probes += 1
         names = (f"probe-{self.key}-{self._probes}-{number}" for number in range(1000))
         key = next(
@@ -90,7 +90,7 @@
         return self.deployment.deployed.call(entry, CUSTOMER, OPERATION, {}, key).status
 
     def ask(self, entry, timeout_ms=0):
-        """Send the key through an entry; go on at once."""
+        """Send the key through an entry, without waiting for the answer."""
         timeout_ms = timeout_ms or (_TIMEOUT_MS if self.submissions else self.first_timeout_ms)
         submission = Submission(entry, timeout_ms, time.monotonic())
         self.submissions.append(submission)
@@ -98,36 +98,36 @@
         return submission
 
     def await_answer(self, number):
-        """Wait until a submission has ended, and check that it did not outlive its deadline."""
+        """Wait until a submission has ended, and check that it ended by its deadline."""
         submission = self.submissions[number - 1]
         submission.future.result()
-        if submission.entry in self._ever_frozen:
+        if submission.entry in self._ever_suspended:
             return
         seconds = submission.ended_at - submission.started_at
-        assert seconds < submission.timeout_ms / 1000 + _LATE_SECONDS, seconds
+        assert seconds < submission.timeout_ms / 1000 + _MAX_LATENESS_SECONDS, seconds
         if submission.timeout_ms == _LONG_TIMEOUT_MS:
             assert seconds < _LONG_TIMEOUT_MS / 1000 / 2, f"held back for {seconds} s"
 
     def hold_runs(self):
-        """Let the services run but not answer, until the faults are over."""
+        """Make the services run requests but hold their answers until `end_faults`."""
         for host in self.deployment.hosts.values():
             self.cluster.control(host.server_name, hold=True)
 
     def await_run(self):
-        """Wait until a service is at work on the key, or has done it."""
+        """Wait until a service runs the key or has run it."""
         support.wait_until(lambda: self.deployment.count_runs(self.key) == 1, "the key runs")
 
     def find_claims(self):
-        """Return the key's claims in the log, in order."""
+        """Return the key's claims in the order of the log."""
         values = [item["value"] for item in self.deployment.read_stream(f"claims-{self.shard}")]
         return [value for value in values if value["key"] == self.key]
 
     def await_claims(self, count):
-        """Wait until the log holds so many claims of the key."""
+        """Wait until the log holds at least `count` claims of the key."""
         support.wait_until(lambda: len(self.find_claims()) >= count, f"{count} claims")
 
     def name(self, role):
-        """Return the name of what a role stands for."""
+        """Return the name of the process or relay that has a role."""
         if role.startswith(("entry-", "log", "desk-")):
             return role
         host = self.key.split("~")[4] if self.is_ticket else self.find_claims()[0]["sidecar"]
@@ -139,27 +139,27 @@
             "call", f"service-{host}"
         )
 
-    def freeze(self, name):
-        """Pause a process."""
+    def suspend(self, name):
+        """Suspend a process."""
         self.deployment.freeze(name)
-        self._frozen.add(name)
-        self._ever_frozen.add(name)
+        self._suspended.add(name)
+        self._ever_suspended.add(name)
 
-    def thaw(self, name):
-        """Let a paused process go on."""
+    def resume(self, name):
+        """Resume a suspended process."""
         self.cluster.thaw(name)
-        self._frozen.discard(name)
+        self._suspended.discard(name)
 
     def end_faults(self):
-        """Let everything go on that was paused, cut, held or out of order; restart the dead."""
+        """End all faults: resume and restart processes, heal relays, release held answers."""
         self.cluster.control("log", outage="", slow_ms=0, lose_before=0, lose_after=0, late=0)
         for host in self.deployment.hosts.values():
             if self.cluster.find(host.server_name).code is None:
                 self.cluster.control(host.server_name, hold=False, hang=False)
         for item in self.relays.values():
             item.heal()
-        for name in list(self._frozen):
-            self.thaw(name)
+        for name in list(self._suspended):
+            self.resume(name)
         hosts = self.deployment.hosts.values()
         for name in [*(host.name for host in hosts), *(host.server_name for host in hosts)]:
             if self.cluster.find(name).code is not None:
@@ -168,19 +168,19 @@
         for number in range(1, len(self.submissions) + 1):
             self.await_answer(number)
 
-    def let_late_work_arrive(self):
+    def flush_late_messages(self):
         """
-        Send other requests through everything that the key may still be on its way through.
+        Send other requests over all links on which messages of the key may still be in flight.
 
-        What was held is passed on before them, and the entries have read all earlier records of
-        the stream when these are answered.
+        Held messages are forwarded before them, and when they are answered the entries have read
+        all earlier records of the stream.
         """
-        for _ in range(_PROBES):
+        for _ in range(_PROBE_ROUNDS):
             for entry in self.deployment.list_running_entries():
                 support.wait_until(lambda entry=entry: self.probe(entry) == 200, "a probe")
 
     def check_answers(self):
-        """Check what must hold for any story; return how often the key ran."""
+        """Check what must hold after any sequence of faults; return how often the key ran."""
         runs = self.deployment.count_runs(self.key)
         assert runs <= 1, f"ran {runs} times: {self.describe()}"
         done = [item.response.body for item in self.submissions if item.outcome == "done"]
@@ -197,7 +197,7 @@
         return runs
 
     def describe(self):
-        """Return the story so far, for a failure's message."""
+        """Return answers and claims so far, for the message of a failure."""
         told = [(item.entry, item.outcome, item.runs_then) for item in self.submissions]
         return f"{told}, claims {self.find_claims()}"
 
@@ -216,10 +216,10 @@
 
 def _reach_received(trial):
     """
-    The entry has the request; its append does not get to the log.
+    Bring the request to the entry, and hold the append of its claim before the log.
 
-    That a connection is open says nothing yet: an entry that is killed between opening it and
-    sending has appended nothing, and its claim never comes.
+    Waiting for an open connection would not do: an entry that is killed after opening it and
+    before sending has appended nothing, and its claim never arrives.
     """
     log_relay = trial.relays["log-entry-a"]
     log_relay.block(relay.TO_SERVER)
@@ -231,21 +231,21 @@
 
 
 def _reach_appended(trial):
-    """The claim stands in the log; the entry does not know."""
+    """Bring the claim to the log, and hold the log's answers to the entry."""
     trial.relays["log-entry-a"].block(relay.TO_CLIENT)
     trial.ask("entry-a")
     trial.await_claims(1)
 
 
 def _reach_read_back(trial):
-    """The claim is on its way back to the entry, which is paused and about to send the request."""
+    """Suspend the entry with the claim in its socket; when resumed it sends the request."""
     _reach_appended(trial)
-    trial.freeze("entry-a")
+    trial.suspend("entry-a")
     trial.relays["log-entry-a"].heal()
 
 
 def _send_through(trial, change):
-    """Let the link that the request will take be changed before it is sent; return the link."""
+    """Apply a change to the link to the sidecar before the request is sent; return the link."""
     if not trial.is_ticket:
         _reach_appended(trial)
     link = trial.relays[trial.name("link")]
@@ -257,26 +257,26 @@
 
 
 def _reach_dispatched(trial):
-    """The request is on its way to the sidecar, which can't be reached."""
+    """Hold the request on its way to the sidecar; new connections are held as well."""
     link = _send_through(trial, lambda link: link.block(relay.TO_SERVER))
     support.wait_until(lambda: link.count_held(relay.TO_SERVER), "the request was sent")
 
 
 def _reach_overtaken(trial):
-    """The request is held on an old connection; new connections to the sidecar work."""
+    """Hold the request on an old connection; new connections to the sidecar work."""
     link = _send_through(trial, lambda link: link.block_open_connections())
     support.wait_until(lambda: link.count_held(relay.TO_SERVER), "the request was sent")
 
 
 def _reach_running(trial):
-    """The service is at work on the request."""
+    """Wait until the service runs the request, and hold its answer."""
     trial.hold_runs()
     trial.ask("entry-a")
     trial.await_run()
 
 
 def _reach_finished(trial):
-    """The service's answer is on its way to the sidecar."""
+    """Hold the service's answer on its way to the sidecar."""
     for host in trial.deployment.hosts:
         trial.relays[f"service-{host}"].block(relay.TO_CLIENT)
     trial.ask("entry-a")
@@ -287,13 +287,13 @@
 
 
 def _reach_returned(trial):
-    """The sidecar's answer is on its way to the entry."""
+    """Hold the sidecar's answer on its way to the entry."""
     _send_through(trial, lambda link: link.block(relay.TO_CLIENT))
     trial.await_run()
 
 
 def _reach_answered(trial):
-    """The caller has the answer."""
+    """Wait until the caller has the answer."""
     trial.ask("entry-a")
     trial.await_answer(1)
 
--- a/features/runners.feature
+++ b/features/runners.feature
@@ -1,10 +1,10 @@
-Feature: A sidecar passes on only tokens whose weights are known
-  A label that can't be known is never guessed, and no token is passed on past one held back.
+Feature: A sidecar forwards only tokens whose weight version is known
+  A label is never guessed, and no token is forwarded after one that is held back.
 
   Scenario Outline: Tokens with and without a stated version
-    # An engine whose load failed midway runs on without a whole version: its tokens state none
-    # until a load succeeds. Passing on the later, labelled ones while the first are held back
-    # gave the trainer a sample whose text lacked its start (found by the soak, seed 1).
+    # After a failed load an engine has no complete version, and its tokens state none until a load
+    # succeeds. Forwarding the later, labelled tokens while the first were held back gave the
+    # trainer a sample whose text lacked its start (found by the soak, seed 1).
     Given a runner whose engine streams versions <versions>
     And the runner's engine says version <before> before and <after> after
     When the runner runs a generation
@@ -25,9 +25,9 @@
       | - - cut   | 7      | 7     | none   | failed engine-failed |
 
   Scenario Outline: An order whose answer was lost may still take effect
-    # An engine that ignores fencing numbers can carry out two lost orders in turn and so change
-    # its weights there and back between two readings that agree. The trainer would get a label
-    # that both readings state and that is wrong; until such orders have ended, none is assumed.
+    # An engine that ignores fencing tokens can carry out two lost orders one after the other, and so
+    # change its weights and change them back between two readings that agree. The trainer would
+    # get a wrong label that both readings state, so until such orders have ended none is assumed.
     Given a runner whose engine streams versions <versions>
     And the runner's engine <checks> numbers and loses the answer to an order
     When the runner runs a generation
--- a/features/steps/caller_requests_steps.py
+++ b/features/steps/caller_requests_steps.py
@@ -1,4 +1,4 @@
-"""Steps for reading callers' requests."""
+"""Steps for the validation of callers' requests."""
 
 import behave
 
@@ -30,13 +30,13 @@
     context.result = caller_requests.read_caller_request(context.request, terms, context.operation)
 
 
-@behave.then("the caller's faults are at {places}")
+@behave.then("the caller's request has problems at {places}")
 def check_faults(context, places):
     found = [item.place for item in context.result.error.items]
     assert found == places.split(", "), found
 
 
-@behave.then("the caller has at most {most:d} ms")
+@behave.then("the caller's request has a deadline within {most:d} ms")
 def check_deadline(context, most):
     assert context.result.is_ok(), context.result
     assert 0 < context.result.ok.deadline.remaining_ms <= most
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -7,7 +7,7 @@
 
 
 class LedgerProbe:
-    """Plays messages for one key into a ledger and notes what came back."""
+    """Sends messages for one key to a ledger and records the answers."""
 
     def __init__(self, incarnation, keys=100, most_bytes=1000):
         self.ledger = key_ledger.KeyLedger(incarnation, keys, most_bytes)
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring a non-repeatable request to a step, let faults happen, and check the story."""
+"""Steps that bring a non-repeatable request to a step, inject faults and check the outcome."""
 
 import time
 
@@ -11,8 +11,8 @@
 from oleander_claims import records
 from oleander_standins import relay
 
-_MOST_RETRIES = 5
-_CROWD = 12
+_MAX_RETRIES = 5
+_EXCESS_REQUESTS = 12
 _DIRECTIONS = {"to-server": relay.TO_SERVER, "to-client": relay.TO_CLIENT}
 
 
@@ -37,8 +37,8 @@
     )
 
 
-def _come_back(trial):
-    """Wait as long as the last answer, where it is a refusal, told the caller to."""
+def _wait_retry_delay(trial):
+    """Wait for the retry delay of the last answer, if it is a refusal."""
     last = trial.submissions[-1]
     wait_ms = 0
     if last.outcome.startswith("not-run"):
@@ -46,10 +46,10 @@
     support.wait_until(lambda: time.monotonic() > last.ended_at + wait_ms / 1000, "the caller")
 
 
-def _ask_until_served(trial):
-    """Ask as a caller does, who comes back when told; a mended log is noticed within a second."""
-    for _ in range(_MOST_RETRIES):
-        _come_back(trial)
+def _retry_until_served(trial):
+    """Retry after each refusal's delay; entries notice within a second that the log is back."""
+    for _ in range(_MAX_RETRIES):
+        _wait_retry_delay(trial)
         trial.ask("entry-b")
         trial.await_answer(len(trial.submissions))
         if not trial.submissions[-1].outcome.startswith("not-run log-"):
@@ -57,7 +57,7 @@
 
 
 def _append_other_claims(trial, count):
-    """Fill the stream with claims of other keys, as other callers' requests would."""
+    """Append claims of other keys to the stream, as requests of other callers do."""
     keys = [f"other-{number}" for number in range(int(count))]
     claims = [
         records.Claim(once_trial.CUSTOMER, key, "", 1, "desk-a", "127.0.0.1:1", "gone", key, "")
@@ -66,12 +66,12 @@
     values = [claim.to_value() for claim in claims]
     url = f"{trial.cluster.url('log')}/streams/claims-{trial.shard}/records"
     support.call("POST", url, {"records": values})
-    trial.let_late_work_arrive()
+    trial.flush_late_messages()
 
 
-def _crowd(trial, entry):
-    """Send an entry more requests that are held than it has threads for, until it refuses one."""
-    names = [f"crowd-{number}" for number in range(_CROWD)]
+def _exhaust_threads(trial, entry):
+    """Send an entry more requests than it has threads, until it refuses one."""
+    names = [f"crowd-{number}" for number in range(_EXCESS_REQUESTS)]
     for name in names:
         trial.deployment.start_call(name, entry, once_trial.CUSTOMER, "look-up", {})
     support.wait_until(
@@ -80,7 +80,7 @@
 
 
 _EVENTS = {
-    "crowd": _crowd,
+    "crowd": _exhaust_threads,
     "ask": lambda trial, entry, timeout_ms="0": trial.ask(entry, int(timeout_ms)),
     "await": lambda trial, number: trial.await_answer(int(number)),
     "claims": lambda trial, count: trial.await_claims(int(count)),
@@ -89,8 +89,8 @@
     "noticed": lambda trial: trial.deployment.await_peers(1),
     "linked": lambda trial: trial.deployment.await_entries(),
     "peers": lambda trial, count: trial.deployment.await_peers(int(count)),
-    "freeze": lambda trial, role: trial.freeze(trial.name(role)),
-    "thaw": lambda trial, role: trial.thaw(trial.name(role)),
+    "freeze": lambda trial, role: trial.suspend(trial.name(role)),
+    "thaw": lambda trial, role: trial.resume(trial.name(role)),
     "cut": lambda trial, role: trial.relays[trial.name(role)].cut(),
     "hold-open": lambda trial, role: trial.relays[trial.name(role)].block_open_connections(),
     "drop": lambda trial, role: trial.relays[trial.name(role)].drop_connections(),
@@ -102,43 +102,46 @@
     "runs": lambda trial: trial.await_run(),
     "deadline": _pass_deadline,
     "others": _append_other_claims,
-    "back": _come_back,
+    "back": _wait_retry_delay,
 }
 
 
-def _fits(found, expected):
-    """Tell whether an outcome is one of those expected, with its reason where one is given."""
+def _is_expected(found, expected):
+    """Return whether an outcome is among those expected; a reason counts only if one is given."""
     return found in expected.split("/") or found.split()[0] in expected.split("/")
 
 
-def _begin(context, deployment, key=""):
+def _begin_trial(context, deployment, key=""):
     context.deployment = deployment
     context.cluster = deployment.cluster
-    context.once = once_trial.OnceTrial(deployment, key)
+    context.once = once_trial.OnceRequestTrial(deployment, key)
     context.once.warm_up()
 
 
-@behave.given("a deployment in which every connection of a once request can fail")
+@behave.given("a deployment in which every connection of a non-repeatable request can fail")
 def start(context):
-    _begin(context, deployment_pool.POOL.take(once_trial.RELAYS))
+    _begin_trial(context, deployment_pool.POOL.take(once_trial.RELAYS))
 
 
 @behave.given(
-    "a deployment in which every connection of a once request can fail but those to the services"
+    "a deployment in which every connection of a non-repeatable request can fail "
+    "but those to the services"
 )
 def start_with_direct_services(context):
-    _begin(context, deployment_pool.POOL.take(once_trial.LINK_AND_LOG_RELAYS))
+    _begin_trial(context, deployment_pool.POOL.take(once_trial.LINK_AND_LOG_RELAYS))
 
 
-@behave.given("a deployment whose entries have {setting} set to {value} for a once request")
+@behave.given(
+    "a deployment whose entries have {setting} set to {value} for a non-repeatable request"
+)
 def start_with_setting(context, setting, value):
     flags = (f"--{setting}", value)
     started = deployments.SmallDeployment(support.get_cluster(context), entry_flags=flags)
     started.start()
-    _begin(context, started)
+    _begin_trial(context, started)
 
 
-@behave.given("the once request has an issued key")
+@behave.given("the non-repeatable request has an issued key")
 def issue_key(context):
     deployment = context.deployment
     url = f"{deployment.cluster.url('entry-a')}/v1/customers/{once_trial.CUSTOMER}"
@@ -147,18 +150,18 @@
     issued = support.wait_until(
         lambda: support.call("POST", url, {}, headers).read_json().get("key"), "an issued key"
     )
-    context.once = once_trial.OnceTrial(deployment, issued)
+    context.once = once_trial.OnceRequestTrial(deployment, issued)
 
 
-@behave.when("{count:d} once requests are each sent to both entries at the same time")
+@behave.when("{count:d} non-repeatable requests are each sent to both entries at the same time")
 def ask_both(context, count):
-    context.once_trials = [once_trial.OnceTrial(context.deployment) for _ in range(count)]
+    context.once_trials = [once_trial.OnceRequestTrial(context.deployment) for _ in range(count)]
     for trial in context.once_trials:
         for entry in deployments.ENTRIES:
             trial.ask(entry)
 
 
-@behave.then("each of the once requests ran once, and both entries gave its answer")
+@behave.then("each of the non-repeatable requests ran once, and both entries gave its answer")
 def check_both(context):
     for trial in context.once_trials:
         for number in (1, 2):
@@ -167,7 +170,7 @@
         assert trial.check_answers() == 1, trial.describe()
 
 
-@behave.when("the once request is {step}, and then {events}")
+@behave.when("the non-repeatable request is {step}, and then {events}")
 def play(context, step, events):
     step, _, timeout_ms = step.partition(" within ")
     context.once.first_timeout_ms = int(timeout_ms or context.once.first_timeout_ms)
@@ -177,27 +180,30 @@
         _EVENTS[name](context.once, *arguments)
 
 
-@behave.when("the once faults are over")
+@behave.when("all faults of the non-repeatable request have ended")
 def end_faults(context):
     context.once.end_faults()
 
 
-@behave.then("the once answers are {expected}")
+@behave.then("the non-repeatable request has the answers {expected}")
 def check_answers(context, expected):
     found = [item.outcome for item in context.once.submissions]
     wanted = expected.split(", ")
     assert len(found) == len(wanted), context.once.describe()
     for one, other in zip(found, wanted, strict=True):
-        assert _fits(one, other), context.once.describe()
+        assert _is_expected(one, other), context.once.describe()
 
 
-@behave.then("a last once retry is answered {outcome}, after {runs:d} runs in all")
+@behave.then(
+    "a final retry of the non-repeatable request is answered {outcome}, "
+    "after {runs:d} runs in total"
+)
 def check_end(context, outcome, runs):
     trial = context.once
     if outcome != "nothing":
-        _ask_until_served(trial)
-        assert _fits(trial.submissions[-1].outcome, outcome), trial.describe()
-    trial.let_late_work_arrive()
+        _retry_until_served(trial)
+        assert _is_expected(trial.submissions[-1].outcome, outcome), trial.describe()
+    trial.flush_late_messages()
     found = trial.check_answers()
     assert found == runs, trial.describe()
     if context.deployment.is_whole and not context.deployment.has_own_settings:
--- a/features/steps/runners_steps.py
+++ b/features/steps/runners_steps.py
@@ -1,4 +1,4 @@
-"""Steps for running a generation beside a fake engine."""
+"""Steps for running a generation with a fake engine."""
 
 import threading
 
--- a/features/steps/tickets_steps.py
+++ b/features/steps/tickets_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tickets."""
+"""Steps for issuing and verifying tickets."""
 
 import behave
 
--- a/features/steps/waiting_runs_steps.py
+++ b/features/steps/waiting_runs_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that wait at a sidecar whose entry may be gone."""
+"""Steps for requests queued at a sidecar whose entry may have gone."""
 
 import threading
 
@@ -14,13 +14,13 @@
 _BUDGET_MS = 20000
 _STOP_SECONDS = 5.0
 _SETTLE_SECONDS = 0.5
-"""In which a free slot takes what waits: it looks at once."""
+"""Time within which a free slot has started a queued request, which it does at once."""
 _HELLO = messages.Hello(messages.PROTOCOL, "peer", "i1", "z", "token")
 _BEAT = messages.Heartbeat("desk", 0, 0, 1, 0, -1, True, False, 0, 0)
 
 
 class GatedRunner(runners.Runner):
-    """Keeps each request until the gate opens."""
+    """Runs each request until the gate is opened."""
 
     def __init__(self):
         self.begun = []
@@ -33,7 +33,7 @@
 
 
 class SlowRecords:
-    """Holds the thread that reads a link, as a machine does that is busy."""
+    """Blocks the thread that reads a link, as on a busy host."""
 
     def __init__(self):
         self.is_held = threading.Event()
--- a/features/tickets.feature
+++ b/features/tickets.feature
@@ -1,8 +1,8 @@
-Feature: Keys that name the sidecar run that may start them
+Feature: Tickets, keys that name the sidecar incarnation that may start them
 
-  Scenario Outline: A ticket is read only where it was issued
-    # A caller changes a ticket to name another host, or uses one of another operation. The entry
-    # would connect to an address of the caller's choice, so it reads only what was issued.
+  Scenario Outline: Only an unchanged ticket of the same operation and customer is accepted
+    # Guards against a caller that forges a ticket with another address, or uses the ticket of
+    # another operation: the entry would connect to an address of the caller's choice.
     Given a ticket for operation "booking" of "catania" at "127.0.0.1:4711"
     When the ticket is read for <operation> of <customer> after <change>
     Then the ticket read is <result>
--- a/features/waiting_runs.feature
+++ b/features/waiting_runs.feature
@@ -1,10 +1,10 @@
-Feature: Requests that wait at a sidecar for an entry that has gone
-  An entry that gets no answer closes its link and has the requests made elsewhere.
+Feature: Requests queued at a sidecar whose entry has gone
+  An entry that gets no answer closes its link and sends the requests to other sidecars.
 
-  Scenario Outline: What waits begins only for an entry that is still there
-    # A sidecar is paused, its entry closes the link and resumes the requests elsewhere; the sidecar
-    # goes on, its slots come free, and before it has read that the link is closed it begins with
-    # what waited. Nobody can get those answers, and the slots are missed by others.
+  Scenario Outline: A queued request starts only if its entry is still connected
+    # A sidecar is suspended, and its entry closes the link and resumes the requests elsewhere. When
+    # the sidecar resumes and a slot becomes free, it could start a queued request before it reads that
+    # the link is closed. Its answer would be lost, and the slot missing for other requests.
     Given a sidecar whose only slot is busy with a request, and a second one that waits
     And the sidecar is slow to read what else came over the link
     When <happening> and the slot comes free
