--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -59,9 +59,9 @@
         self, submitted: submission.Submission, deadline: clock.Deadline
     ) -> expression.Result[None, BatchProblem]:
         """Accept a batch; accepting a known one of the same organisation changes nothing."""
-        known = self._journal.index.find(submitted.batch_id)
-        if known is not None:
-            if not _is_accessible(known, submitted.organisation):
+        known_batch = self._journal.index.find(submitted.batch_id)
+        if known_batch is not None:
+            if not _is_accessible(known_batch, submitted.organisation):
                 return _build_error(BatchFault.MISSING, "the batch is not of this organisation")
             return expression.Ok(None)
         if self._journal.index.is_cut:
--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -87,9 +87,9 @@
         partition is reassigned meanwhile, the new owner may read the index first and take the
         runner for dead; all texts of its batches were then generated twice.
         """
-        doubtful = [batch.batch_id for batch in batches if self._needs_announcement(batch)]
-        if doubtful:
-            self._write_runner(doubtful, self._name)
+        unannounced = [batch.batch_id for batch in batches if self._needs_announcement(batch)]
+        if unannounced:
+            self._write_runner(unannounced, self._name)
 
     def release(self, batches: list[fold.Batch]) -> bool:
         """Hand these batches over to the owners of their partitions; return success."""
@@ -116,11 +116,11 @@
         return batch.runner != self._name or not was_heard
 
     def _write_runner(self, batch_ids: list[str], runner: str) -> bool:
-        said = self._journal.note_runner(batch_ids, runner)
+        written = self._journal.note_runner(batch_ids, runner)
         log.logger.bind(
             event="batch-tenure",
             batches=batch_ids,
             runner=runner,
-            error=said.error.detail if said.is_error() else "",
+            error=written.error.detail if written.is_error() else "",
         ).info("announced as their runner" if runner else "handed over")
-        return said.is_ok()
+        return written.is_ok()
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -150,10 +150,10 @@
         label = tuple(
             steps.LabelPart(version, made * self._event_tokens) for version, made in partial.label
         )
-        start = work.Partial(partial.text, label, partial.events * self._event_tokens)
-        if label and start.oldest_version >= self._submitted.oldest_version:
+        restored = work.Partial(partial.text, label, partial.events * self._event_tokens)
+        if label and restored.oldest_version >= self._submitted.oldest_version:
             with self._lock:
-                self._scheduler.resume_from(partial.item_number, start)
+                self._scheduler.resume_from(partial.item_number, restored)
 
     def record_result(self, item_number: int, result: submission.ItemResult) -> None:
         """Record a result, for reuse when a later batch contains the item again."""
@@ -163,8 +163,8 @@
         """Return partial texts and results for reuse by later batches with the same items."""
         with self._lock:
             found = self._scheduler.list_partials()
-        starts = [self._build_partial(number, start) for number, start in found.items()]
-        known = [self._build_known_text(start.item_number, start, None) for start in starts]
+        partials = [self._build_partial(number, start) for number, start in found.items()]
+        known = [self._build_known_text(start.item_number, start, None) for start in partials]
         return known + [
             self._build_known_text(number, None, result)
             for number, result in self._results.items()
@@ -173,13 +173,13 @@
     def _build_known_text(
         self,
         number: int,
-        start: submission.PartialText | None,
+        partial: submission.PartialText | None,
         result: submission.ItemResult | None,
     ) -> item_texts.KnownText:
         submitted = self._submitted
         item_id = submitted.items[number].item_id
         return item_texts.KnownText(
-            submitted.organisation, item_id, submitted.model, start, result
+            submitted.organisation, item_id, submitted.model, partial, result
         )
 
     def reuse_texts(self, texts: item_texts.TextCache) -> list[tuple[int, submission.ItemResult]]:
@@ -246,11 +246,13 @@
             self._cancelled.update(self._scheduler.take_cancellations())
         if started is None:
             return None
-        events = started.resumed_tokens // self._event_tokens
+        resumed_events = started.resumed_tokens // self._event_tokens
         item = self._submitted.items[started.number]
         urgency = self.compute_urgency(due_seconds)
-        expected = started.expected_tokens / self._event_tokens
-        return ItemWork(self, started, item, started.number, events, urgency, expected)
+        expected_events = started.expected_tokens / self._event_tokens
+        return ItemWork(
+            self, started, item, started.number, resumed_events, urgency, expected_events
+        )
 
     def is_cancelled(self, item: ItemWork) -> bool:
         """Return whether an attempt should stop, because it is cancelled or its run has ended."""
@@ -311,10 +313,10 @@
         self._received_events.pop(item.work.work_id, None)
         self._cancelled.discard(item.work.work_id)
 
-    def _build_partial(self, number: int, start: work.Partial) -> submission.PartialText:
-        label = tuple((part.version, part.tokens // self._event_tokens) for part in start.label)
-        events = start.tokens // self._event_tokens
-        return submission.PartialText(number, start.text, events, label)
+    def _build_partial(self, number: int, partial: work.Partial) -> submission.PartialText:
+        label = tuple((part.version, part.tokens // self._event_tokens) for part in partial.label)
+        events = partial.tokens // self._event_tokens
+        return submission.PartialText(number, partial.text, events, label)
 
 
 def _build_step(submitted: submission.Submission, event_tokens: int) -> steps.Step:
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -148,8 +148,8 @@
         """
         for run in list(self._runs.values()):
             route = self._find_route(run.batch)
-            is_overdue = route is not None and run.age_seconds > route.retention_ms / 1000
-            if not is_overdue or run.is_stopped:
+            is_expired = route is not None and run.age_seconds > route.retention_ms / 1000
+            if not is_expired or run.is_stopped:
                 continue
             lost = run.give_up_unfinished()
             for number, result in lost:
@@ -267,8 +267,8 @@
         excluded = run.find_last_server(item.item_number)
         if self._guard is not None and self._guard.is_suspect(item.call):
             excluded |= self._guard.list_suspect_servers()
-        need = _build_route_request(run, route, excluded, item.expected_events)
-        chosen = self._router.choose(need)
+        request = _build_route_request(run, route, excluded, item.expected_events)
+        chosen = self._router.choose(request)
         if chosen.is_ok():
             return self._directory.find_server(chosen.ok)
         if chosen.error.reason == router.WINDOWS_FULL:
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -58,16 +58,16 @@
         `on_dequeued` is called once, when the server has started the item or the attempt has
         ended before that. Another item may then be sent to the server.
         """
-        outcome = _ItemAttempt(self._caller, self._router, item, server, on_dequeued)
-        ended = self._run_attempt(outcome, item, server)
+        attempt = _ItemAttempt(self._caller, self._router, item, server, on_dequeued)
+        ended = self._run_attempt(attempt, item, server)
         if isinstance(ended, submission.ItemResult):
             return ended
         if ended is None:
-            return self._give_up_after_errors(item, outcome)
+            return self._give_up_after_errors(item, attempt)
         return self._score(item, ended)
 
     def _run_attempt(
-        self, outcome: "_ItemAttempt", item: batch_run.ItemWork, server: servers.Server
+        self, attempt: "_ItemAttempt", item: batch_run.ItemWork, server: servers.Server
     ) -> steps.Sample | submission.ItemResult | None:
         """
         Run one attempt and report its outcome to the router.
@@ -76,31 +76,31 @@
         running it would never be tried again, and its step would wait for it until it is late.
         """
         started_at = clock.read_now()
-        ended = None
+        result = None
         watch = self._guard.begin(item.call, server) if self._guard is not None else None
         try:
-            ended = outcome.run()
+            result = attempt.run()
         except Exception:
             log.logger.bind(event="item-failed", id=item.item.item_id).exception(
                 "unexpected error in an attempt; the item is tried again"
             )
-            outcome.reason = "internal-error"
+            attempt.reason = "internal-error"
             item.run.fail(item)
         finally:
-            outcome.leave_queue()
+            attempt.leave_queue()
             if self._guard is not None and watch is not None:
-                self._guard.finish(watch, outcome.classify_end(ended))
+                self._guard.finish(watch, attempt.classify_end(result))
         seconds = clock.read_now() - started_at
-        rated, milliseconds = outcome.compute_rating(seconds)
-        self._router.note_finished(server.server_id, rated, milliseconds)
-        _log_attempt(item, server, outcome, seconds)
-        return ended
+        route_outcome, milliseconds = attempt.compute_rating(seconds)
+        self._router.note_finished(server.server_id, route_outcome, milliseconds)
+        _log_attempt(item, server, attempt, seconds)
+        return result
 
     def _give_up_after_errors(
-        self, item: batch_run.ItemWork, outcome: "_ItemAttempt"
+        self, item: batch_run.ItemWork, attempt: "_ItemAttempt"
     ) -> submission.ItemResult | None:
         route = self._find_route(item)
-        if route is None or not outcome.was_error:
+        if route is None or not attempt.was_error:
             return None
         if item.run.count_error(item.item_number) < route.most_servers:
             return None
@@ -161,16 +161,16 @@
         self._caller = caller
         self._router = router_
         self._item = item
-        self._run = item.run
+        self._batch_run = item.run
         self._server = server
         self._on_dequeued = on_dequeued
         self._is_queued = True
         self._started_at = clock.read_now()
-        self._heard_at = self._started_at
-        self._first_at = 0.0
-        self._rated_at = 0.0
+        self._last_event_at = self._started_at
+        self._first_event_at = 0.0
+        self._rate_reported_at = 0.0
         self._events = 0
-        self._longest_gap = 0.0
+        self._longest_gap_seconds = 0.0
         self.was_refused = False
         self._was_cancelled = False
         self.was_answered = False
@@ -205,8 +205,8 @@
         if self.was_refused:
             return router.RouteOutcome.REFUSED, milliseconds
         if self._events:
-            running = clock.read_now() - self._first_at
-            milliseconds = running * 1000 / self._events
+            stream_seconds = clock.read_now() - self._first_event_at
+            milliseconds = stream_seconds * 1000 / self._events
         if self.reason and not self._was_cancelled:
             return router.RouteOutcome.FAILED, milliseconds
         return router.RouteOutcome.OK, milliseconds
@@ -233,12 +233,12 @@
     @property
     def first_ms(self) -> int:
         """Milliseconds from the attempt's start to its first event, or -1 without one."""
-        return int((self._first_at - self._started_at) * 1000) if self._events else -1
+        return int((self._first_event_at - self._started_at) * 1000) if self._events else -1
 
     @property
     def longest_gap_ms(self) -> int:
         """Longest time between two events, in milliseconds."""
-        return int(self._longest_gap * 1000)
+        return int(self._longest_gap_seconds * 1000)
 
     def _read_stream(self, stream: servers.EventStream) -> steps.Sample | None:
         while True:
@@ -248,25 +248,27 @@
                 self._fail(read.error)
                 return None
             if read.ok.is_end:
-                sample = self._run.finish(self._item)
+                sample = self._batch_run.finish(self._item)
                 self.reason = "" if sample else "unusable"
                 return sample
             now = clock.read_now()
             if self._events:
-                self._longest_gap = max(self._longest_gap, now - self._heard_at)
-            self._heard_at = now
+                self._longest_gap_seconds = max(
+                    self._longest_gap_seconds, now - self._last_event_at
+                )
+            self._last_event_at = now
             if not self._events:
-                self._first_at = self._rated_at = now
+                self._first_event_at = self._rate_reported_at = now
                 self._router.note_accepted(self._server.server_id, self._started_at)
                 self.leave_queue()
             self._events += 1
             self._report_rate(now)
-            self._run.record_event(self._item, read.ok.text, read.ok.version)
-            if self._run.is_cancelled(self._item):
+            self._batch_run.record_event(self._item, read.ok.text, read.ok.version)
+            if self._batch_run.is_cancelled(self._item):
                 stream.close()
                 self._was_cancelled = True
                 self.reason = "cancelled"
-                self._run.fail(self._item)
+                self._batch_run.fail(self._item)
                 return None
 
     def _report_rate(self, now: float) -> None:
@@ -277,30 +279,30 @@
         texts run, and stragglers of other servers would be moved to it.
         """
         if self._events > 1 and (self._events - 1) % _EVENTS_PER_RATE_REPORT == 0:
-            milliseconds = (now - self._rated_at) * 1000 / _EVENTS_PER_RATE_REPORT
+            milliseconds = (now - self._rate_reported_at) * 1000 / _EVENTS_PER_RATE_REPORT
             self._router.record_rate(self._server.server_id, milliseconds)
-            self._rated_at = now
+            self._rate_reported_at = now
 
     def _should_abort(self) -> bool:
-        if self._run.is_cancelled(self._item):
+        if self._batch_run.is_cancelled(self._item):
             self._was_cancelled = True
             return True
-        return clock.read_now() - self._heard_at > _SILENCE_TIMEOUT_SECONDS
+        return clock.read_now() - self._last_event_at > _SILENCE_TIMEOUT_SECONDS
 
     def _fail(self, failure: servers.CallFailure) -> None:
         self.reason = failure.detail[:80]
         self.server_ended = failure.server_ended
         self.was_sent = failure.was_sent
-        self._run.fail(self._item)
+        self._batch_run.fail(self._item)
 
     def _handle_answer(self, answer: servers.CallAnswer) -> submission.ItemResult | None:
         self.was_answered = True
         self.reason = f"status-{answer.status}"
         if answer.did_not_run or answer.is_other_server:
             self.was_refused = True
-            self._run.requeue(self._item)
+            self._batch_run.requeue(self._item)
             return None
-        self._run.fail(self._item)
+        self._batch_run.fail(self._item)
         if answer.status == _UNPROCESSABLE_STATUS:
             return _build_lost_result(self._item.item)
         self.was_error = answer.status == servers.FAILED_STATUS
@@ -327,14 +329,14 @@
 
 
 def _log_attempt(
-    item: batch_run.ItemWork, server: servers.Server, outcome: _ItemAttempt, seconds: float
+    item: batch_run.ItemWork, server: servers.Server, attempt: _ItemAttempt, seconds: float
 ) -> None:
     metrics.count(metrics.ITEMS_STARTED)
     metrics.record_timing(metrics.ITEM_MS, seconds * 1000)
-    if outcome.reason:
-        if outcome.server_ended:
+    if attempt.reason:
+        if attempt.server_ended:
             metrics.count(metrics.SERVERS_ENDED)
-        metrics.count(metrics.ITEMS_REFUSED if outcome.was_refused else metrics.ITEMS_BROKEN)
+        metrics.count(metrics.ITEMS_REFUSED if attempt.was_refused else metrics.ITEMS_BROKEN)
     log.logger.bind(
         event="item",
         id=item.item.item_id,
@@ -342,9 +344,9 @@
         server=server.server_id,
         resumed=item.resumed_events,
         ms=int(seconds * 1000),
-        first_ms=outcome.first_ms,
-        events=outcome.events,
-        gap_ms=outcome.longest_gap_ms,
-        server_ended=outcome.server_ended,
-        reason=outcome.reason,
-    ).info("attempt failed" if outcome.reason else "text complete")
+        first_ms=attempt.first_ms,
+        events=attempt.events,
+        gap_ms=attempt.longest_gap_ms,
+        server_ended=attempt.server_ended,
+        reason=attempt.reason,
+    ).info("attempt failed" if attempt.reason else "text complete")
