--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -74,7 +74,7 @@
             self.reporter.flush()
             self._flush_at = now + 0.5
         if now >= self._hold_at and self.lease.is_wanted:
-            self._hold_at = now + self.reporter.hold_lease()
+            self._hold_at = now + self.reporter.try_hold_lease()
         self.reporter.report_due()
 
 
@@ -153,7 +153,7 @@
             "up": lambda: setattr(faults, "is_down", False),
             "kill": lambda: self._processes.pop(name),
             "start": lambda: self._processes.update({name: Process(self, name)}),
-            "leave": lambda: self._processes[name].reporter.leave(),
+            "leave": lambda: self._processes[name].reporter.release_lease(),
             "freeze": lambda: setattr(self._processes[name], "is_frozen", True),
             "thaw": lambda: setattr(self._processes[name], "is_frozen", False),
             "dies-sending": lambda: self.dying.add(name),
--- a/features/steps/waiting_runs_steps.py
+++ b/features/steps/waiting_runs_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that wait at a sidecar whose entry may be gone."""
+"""Steps for requests queued at a sidecar whose entry may have gone."""
 
 import threading
 
@@ -8,19 +8,19 @@
 from oleander_admission import admission
 from oleander_base import clock, tasks
 from oleander_wire import link, messages
-from oleanderdeal import executor, ledger, runners, sidecar_links
+from oleanderdeal import executor, key_ledger, runners, sidecar_links
 
 _HEARTBEAT_MS = 200
 _BUDGET_MS = 20000
 _STOP_SECONDS = 5.0
 _SETTLE_SECONDS = 0.5
-"""In which a free slot takes what waits: it looks at once."""
+"""Time within which a free slot has started a queued request, which it does at once."""
 _HELLO = messages.Hello(messages.PROTOCOL, "peer", "i1", "z", "token")
 _BEAT = messages.Heartbeat("desk", 0, 0, 1, 0, -1, True, False, 0, 0)
 
 
 class GatedRunner(runners.Runner):
-    """Keeps each request until the gate opens."""
+    """Runs each request until the gate is opened."""
 
     def __init__(self):
         self.begun = []
@@ -33,7 +33,7 @@
 
 
 class SlowRecords:
-    """Holds the thread that reads a link, as a machine does that is busy."""
+    """Blocks the thread that reads a link, as on a busy host."""
 
     def __init__(self):
         self.is_held = threading.Event()
@@ -57,7 +57,12 @@
     group = tasks.TaskGroup("sidecar", 8)
     runs = executor.Executor(admission.AdmissionQueue(1, 8), context.runner, group, 1)
     links = sidecar_links.SidecarLinks(
-        _HELLO, _HEARTBEAT_MS, lambda: _BEAT, runs, ledger.Ledger("i1", 8, 1024), context.records
+        _HELLO,
+        _HEARTBEAT_MS,
+        lambda: _BEAT,
+        runs,
+        key_ledger.KeyLedger("i1", 8, 1024),
+        context.records,
     )
     server = link.LinkServer("127.0.0.1", 0, links.serve, 4)
     runs.start()
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -214,9 +214,9 @@
         self._group.keep(self._batch_runner.checkpoint_partials)
         self._group.keep(self._version_reconciler.run)
         if self._usage_reporter is not None:
-            self._group.keep(self._usage_reporter.flush_counts)
+            self._group.keep(self._usage_reporter.flush_repeatedly)
             self._group.keep(self._usage_reporter.keep_lease)
-            self._group.keep(self._usage_reporter.report)
+            self._group.keep(self._usage_reporter.report_repeatedly)
         self._group.start(self._api_server.serve)
         self._group.start(self._ready_server.serve)
         if self._metrics_server is not None:
@@ -316,7 +316,7 @@
         self._leaving.set()
         self._version_reconciler.stop()
         if self._usage_reporter is not None:
-            self._usage_reporter.leave()
+            self._usage_reporter.release_lease()
         self._batch_runner.drain()
         self._ownership.leave()
         pause = threading.Event()
--- a/programs/oleanderdeal/oleanderdeal/ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -1,9 +1,9 @@
 """
-What became of each non-repeatable key at this sidecar incarnation.
+Records the state of each non-repeatable key at this sidecar incarnation.
 
-The ledger is why a key runs at most once: a claim in the log names one incarnation, and that
-incarnation's ledger starts a key once or seals it. A sealed key never starts, so whoever was told
-"not run" by a seal may let another sidecar run it.
+The ledger ensures that a key runs at most once: a claim in the log names one incarnation, and the
+ledger of that incarnation either starts the key once or seals it. A sealed attempt never starts,
+so an entry that is told "not run" because of a seal may claim the key for another sidecar.
 """
 
 import collections
@@ -17,8 +17,10 @@
 
 Listener = collections.abc.Callable[[messages.Answer], None]
 
-_MOST_LISTENERS = 16
-_EPOCHS = 16
+_MAX_LISTENERS_PER_KEY = 16
+"""Requests that may wait for the answer of one running key; further ones get "unknown"."""
+_EPOCHS_PER_LEDGER = 16
+"""A new ticket epoch begins after as many tickets as the ledger's keys divided by this."""
 
 REASON_SEALED = "sealed"
 REASON_OTHER_INCARNATION = "incarnation-gone"
@@ -29,16 +31,19 @@
 
 
 class KeyState(enum.Enum):
-    """How far a key has come."""
+    """State of a key at this sidecar."""
 
     STARTED = "started"
+    """The request is queued or running."""
     ENDED = "ended"
+    """The request has run, or may have run, and has an answer."""
     SEALED = "sealed"
+    """No attempt so far has run or will run; a higher attempt may start."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Place:
-    """A shard and the offset of a claim in it."""
+class _ClaimPosition:
+    """The shard and offset of a claim, or `TICKET_SHARD` and the epoch of a ticket."""
 
     shard: int
     offset: int
@@ -48,49 +53,50 @@
 class _KeyEntry:
     attempt: int
     digest: str
-    places: list[_Place]
-    """Where the key's claims stand, of all attempts that came here."""
+    positions: list[_ClaimPosition]
+    """Claims of all attempts of the key that this ledger has received."""
     state: KeyState
     answer: messages.Answer | None
     listeners: list[Listener]
 
 
 def create_answer(outcome: messages.Outcome, reason: str) -> messages.Answer:
-    """Return an answer that no backend server gave; the link fills in the request's id."""
+    """Return an answer that did not come from a backend server; the link sets the request id."""
     return messages.Answer("", outcome, 0, reason, 0, b"", 0)
 
 
-class Ledger:
+class KeyLedger:
     """
-    Remembers keys; bounded in keys and in bytes of kept answers.
+    Keeps the state of keys, bounded by number of keys and by bytes of answers; thread-safe.
 
-    At the bound of bytes the oldest answer is dropped, and a later asker hears "unknown". At the
-    bound of keys the oldest ended key is forgotten, and every key of its shard whose claim is as
-    old or older is from then on neither started nor sealed. A key that is running is never
-    forgotten; the admission queue bounds how many there are.
+    Above the bound on bytes the oldest answer is dropped, and later requests for it are answered
+    "unknown". Above the bound on keys the oldest key that is not running is evicted; from then on
+    no unknown key of its shard with the same or an earlier claim offset is started or sealed,
+    because it may have been evicted. Running keys are never evicted; the admission queue bounds
+    their number.
     """
 
-    def __init__(self, incarnation: str, most_keys: int, most_bytes: int) -> None:
+    def __init__(self, incarnation: str, max_keys: int, max_bytes: int) -> None:
         self._incarnation = incarnation
-        self._most_keys = most_keys
-        self._most_bytes = most_bytes
+        self._max_keys = max_keys
+        self._max_bytes = max_bytes
         self._lock = threading.Lock()
         self._entries: collections.OrderedDict[tuple[str, str], _KeyEntry] = (
             collections.OrderedDict()
         )
         self._answers: collections.deque[_KeyEntry] = collections.deque()
-        self._kept_bytes = 0
-        self._forgotten_offsets: dict[int, int] = {}
+        self._retained_bytes = 0
+        self._evicted_offsets: dict[int, int] = {}
         self._ticket_epoch = 1
         self._tickets_in_epoch = 0
 
     @property
     def ticket_epoch(self) -> int:
-        """The epoch that tickets issued now belong to."""
+        """The epoch of tickets that are issued now."""
         return self._ticket_epoch
 
     def start(self, run: messages.Run, listener: Listener) -> bool:
-        """Return whether the caller must run the key now; else the listener gets the answer."""
+        """Return whether the caller must run the key; otherwise the listener gets its answer."""
         if run.incarnation != self._incarnation:
             listener(_refuse_other_incarnation(run))
             return False
@@ -99,13 +105,13 @@
             if self._may_start(run, entry):
                 self._insert(run, KeyState.STARTED, listener)
                 return True
-            answer = self._read_or_listen(entry, run, listener)
+            answer = self._get_answer_or_listen(entry, run, listener)
         if answer is not None:
             listener(answer)
         return False
 
     def join(self, join: messages.Join, listener: Listener) -> None:
-        """Give the listener the key's answer, now or when it ends; seal an unseen key."""
+        """Pass the key's answer to the listener, now or when it ends; seal an unseen key."""
         if join.incarnation != self._incarnation:
             listener(create_answer(messages.Outcome.UNKNOWN, REASON_OTHER_INCARNATION))
             return
@@ -114,16 +120,15 @@
             if self._may_seal(join, entry):
                 self._insert(join, KeyState.SEALED, None)
                 entry = self._entries[join.customer, join.key]
-            answer = self._read_or_listen(entry, join, listener)
+            answer = self._get_answer_or_listen(entry, join, listener)
         if answer is not None:
             listener(answer)
 
     def find(self, asked: messages.Find) -> messages.Answer:
         """
-        Return what became of a key so far, and leave an unseen one as it is.
+        Return the state of a key as an answer, without sealing an unseen key.
 
-        A key forgotten at the bound counts as unseen; it is older than the claims that any entry
-        remembers.
+        An evicted key counts as unseen; its claim is older than those that any entry remembers.
         """
         with self._lock:
             entry = self._entries.get((asked.customer, asked.key))
@@ -131,10 +136,10 @@
                 return create_answer(messages.Outcome.NOT_RUN, messages.REASON_UNSEEN)
             if entry.digest == asked.digest and entry.state is KeyState.STARTED:
                 return create_answer(messages.Outcome.UNKNOWN, REASON_RUNNING)
-            return _read_ended(entry, asked.digest)
+            return _build_ended_answer(entry, asked.digest)
 
     def end(self, run: messages.Run, answer: messages.Answer) -> None:
-        """Keep a started key's answer and hand it to everyone who waits for it."""
+        """Store a started key's answer and pass it to all its listeners."""
         with self._lock:
             entry = self._entries[run.customer, run.key]
             invariants.require(
@@ -146,26 +151,26 @@
             entry.state = KeyState.SEALED if is_sealed else KeyState.ENDED
             entry.answer = answer
             listeners, entry.listeners = entry.listeners, []
-            self._keep_answer(entry)
-            self._forget_oldest()
+            self._retain_answer(entry)
+            self._evict_oldest()
         for listener in listeners:
             listener(answer)
 
     def _may_start(self, run: messages.Run, entry: _KeyEntry | None) -> bool:
         if entry is None:
-            return not self._is_forgotten(run)
+            return not self._may_be_evicted(run)
         return entry.state is KeyState.SEALED and run.attempt > entry.attempt
 
     def _may_seal(self, join: messages.Join, entry: _KeyEntry | None) -> bool:
         if entry is None:
-            return not self._is_forgotten(join)
+            return not self._may_be_evicted(join)
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
 
-    def _is_forgotten(self, asked: messages.Run | messages.Join) -> bool:
-        """Tell whether this key may have been here and been forgotten."""
-        return asked.claim_offset <= self._forgotten_offsets.get(asked.shard, -1)
+    def _may_be_evicted(self, asked: messages.Run | messages.Join) -> bool:
+        """Return whether an unknown key may have been in the ledger and evicted."""
+        return asked.claim_offset <= self._evicted_offsets.get(asked.shard, -1)
 
-    def _read_or_listen(
+    def _get_answer_or_listen(
         self,
         entry: _KeyEntry | None,
         asked: messages.Run | messages.Join,
@@ -174,8 +179,8 @@
         if entry is None:
             return create_answer(messages.Outcome.UNKNOWN, REASON_FORGOTTEN)
         if entry.digest != asked.digest or entry.state is not KeyState.STARTED:
-            return _read_ended(entry, asked.digest)
-        if len(entry.listeners) >= _MOST_LISTENERS:
+            return _build_ended_answer(entry, asked.digest)
+        if len(entry.listeners) >= _MAX_LISTENERS_PER_KEY:
             return create_answer(messages.Outcome.UNKNOWN, REASON_TOO_MANY_WAITING)
         entry.listeners.append(listener)
         return None
@@ -189,60 +194,60 @@
         name = (asked.customer, asked.key)
         listeners = [] if listener is None else [listener]
         earlier = self._entries.pop(name, None)
-        places = [] if earlier is None else earlier.places
-        places.append(_Place(asked.shard, asked.claim_offset))
+        places = [] if earlier is None else earlier.positions
+        places.append(_ClaimPosition(asked.shard, asked.claim_offset))
         self._entries[name] = _KeyEntry(
             asked.attempt, asked.digest, places, state, None, listeners
         )
         if asked.shard == messages.TICKET_SHARD:
             self._count_ticket()
-        self._forget_oldest()
+        self._evict_oldest()
 
     def _count_ticket(self) -> None:
-        """Start a new epoch now and then, so that forgetting old tickets spares new ones."""
+        """Begin a new epoch at intervals, so that evicting old tickets leaves new ones valid."""
         self._tickets_in_epoch += 1
-        if self._tickets_in_epoch >= max(1, self._most_keys // _EPOCHS):
+        if self._tickets_in_epoch >= max(1, self._max_keys // _EPOCHS_PER_LEDGER):
             self._tickets_in_epoch = 0
             self._ticket_epoch += 1
 
-    def _keep_answer(self, entry: _KeyEntry) -> None:
+    def _retain_answer(self, entry: _KeyEntry) -> None:
         self._answers.append(entry)
-        self._kept_bytes += _count_bytes(entry)
-        while self._kept_bytes > self._most_bytes and len(self._answers) > 1:
+        self._retained_bytes += _count_bytes(entry)
+        while self._retained_bytes > self._max_bytes and len(self._answers) > 1:
             oldest = self._answers.popleft()
-            self._kept_bytes -= _count_bytes(oldest)
+            self._retained_bytes -= _count_bytes(oldest)
             oldest.answer = None
 
-    def _forget_oldest(self) -> None:
-        while len(self._entries) > self._most_keys:
+    def _evict_oldest(self) -> None:
+        while len(self._entries) > self._max_keys:
             name = next(
                 (n for n, e in self._entries.items() if e.state is not KeyState.STARTED), None
             )
             if name is None:
                 return
-            self._note_forgotten(self._entries.pop(name))
+            self._record_evicted(self._entries.pop(name))
 
-    def _note_forgotten(self, entry: _KeyEntry) -> None:
-        for place in entry.places:
-            newest = self._forgotten_offsets.get(place.shard, -1)
-            self._forgotten_offsets[place.shard] = max(newest, place.offset)
-        forgotten_epoch = self._forgotten_offsets.get(messages.TICKET_SHARD, -1)
+    def _record_evicted(self, entry: _KeyEntry) -> None:
+        for place in entry.positions:
+            newest = self._evicted_offsets.get(place.shard, -1)
+            self._evicted_offsets[place.shard] = max(newest, place.offset)
+        forgotten_epoch = self._evicted_offsets.get(messages.TICKET_SHARD, -1)
         self._ticket_epoch = max(self._ticket_epoch, forgotten_epoch + 1)
 
 
 def _refuse_other_incarnation(run: messages.Run) -> messages.Answer:
     """
-    Answer a request that is meant for an earlier run of this sidecar.
+    Return the answer to a request for an earlier incarnation of this sidecar.
 
-    A claimed request is sent once, so refusing it is evidence. A ticket may be sent by several
-    entries, and one of them may have reached the earlier run.
+    A claimed request is sent only once, so refusing it proves that it did not run. A request with
+    a ticket may be sent by several entries, one of which may have reached that incarnation.
     """
     is_ticket = run.shard == messages.TICKET_SHARD
     outcome = messages.Outcome.UNKNOWN if is_ticket else messages.Outcome.NOT_RUN
     return create_answer(outcome, REASON_OTHER_INCARNATION)
 
 
-def _read_ended(entry: _KeyEntry, digest: str) -> messages.Answer:
+def _build_ended_answer(entry: _KeyEntry, digest: str) -> messages.Answer:
     if entry.digest != digest:
         return create_answer(messages.Outcome.UNKNOWN, messages.REASON_OTHER_BODY)
     if entry.state is KeyState.SEALED:
--- a/programs/oleanderdeal/oleanderdeal/runners.py
+++ b/programs/oleanderdeal/oleanderdeal/runners.py
@@ -1,27 +1,28 @@
-"""How a sidecar runs a request on its backend server."""
+"""Runs a request on a sidecar's backend server: a plain service or a model engine."""
 
 import abc
 
 from oleander_backends import engine, service
 from oleander_base import clock
 from oleander_wire import messages
-from oleanderdeal import weights, work
+from oleanderdeal import pending_runs, weights
 
 REASON_CANCELLED = "cancelled"
 REASON_LABEL_UNKNOWN = "label-unknown"
 REASON_OUT_OF_ROTATION = "out-of-rotation"
 _LATE_ANSWER_SECONDS = 10.0
+"""Time past the caller's deadline for which a non-repeatable call is still waited for."""
 
 
 class Runner(abc.ABC):
-    """Runs one request to its end; blocks until then."""
+    """Runs requests on one kind of backend server; `run` blocks until the request ends."""
 
     @abc.abstractmethod
-    def run(self, pending: work.PendingRun) -> messages.Answer:
-        """Return what became of the request."""
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
+        """Run the request and return its answer."""
 
 
-def _answer(
+def _build_answer(
     outcome: messages.Outcome, reason: str, retry_after_ms: int = 0, status: int = 0
 ) -> messages.Answer:
     return messages.Answer("", outcome, status, reason, retry_after_ms, b"", 0)
@@ -29,55 +30,55 @@
 
 class ServiceRunner(Runner):
     """
-    Calls the plain service once.
+    Calls a plain service once for each request.
 
-    A call that may not be repeated is waited for ten seconds past its caller's deadline. Were it
-    given up at the deadline, the service would end it all the same, and a caller that asks again
-    would hear "unknown" for ever; so it gets the whole answer, late. The slot stays taken as long,
-    which is no loss: the service is still at work.
+    A non-repeatable call is waited for until ten seconds past its caller's deadline. If it were
+    abandoned at the deadline, the service would still finish it, and a caller that retries would
+    be told "unknown" for ever; with the wait a retry gets the answer. The slot is held meanwhile,
+    which loses nothing, because the service is still working on the call.
     """
 
     def __init__(self, backend: service.Service) -> None:
         self._backend = backend
 
-    def run(self, pending: work.PendingRun) -> messages.Answer:
-        """Call the service; a lost answer makes the outcome unknown, never a second call."""
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
+        """Call the service once; if its answer is lost the outcome is "unknown"."""
         run = pending.run
         late_seconds = 0.0 if run.repeatable else _LATE_ANSWER_SECONDS
         deadline = clock.start_deadline(pending.deadline.remaining + late_seconds)
         result = self._backend.call(run.operation, run.key, run.body, deadline)
         if result.is_ok():
             return messages.Answer(
-                "", _judge_status(result.ok.status), result.ok.status, "", 0, result.ok.body, 0
+                "", _classify_status(result.ok.status), result.ok.status, "", 0, result.ok.body, 0
             )
         if result.error.not_run:
-            return _answer(messages.Outcome.NOT_RUN, "service-unreachable", 1000)
-        return _answer(messages.Outcome.UNKNOWN, "service-gave-no-answer")
+            return _build_answer(messages.Outcome.NOT_RUN, "service-unreachable", 1000)
+        return _build_answer(messages.Outcome.UNKNOWN, "service-gave-no-answer")
 
 
-def _judge_status(status: int) -> messages.Outcome:
+def _classify_status(status: int) -> messages.Outcome:
     return messages.Outcome.DONE if status < 500 else messages.Outcome.FAILED
 
 
 class EngineRunner(Runner):
-    """Streams tokens from the model engine, each with the weights that made it."""
+    """Streams tokens from a model engine, each labelled with its weight version."""
 
     def __init__(self, backend: engine.Engine, keeper: weights.WeightReconciler) -> None:
         self._backend = backend
         self._keeper = keeper
 
-    def run(self, pending: work.PendingRun) -> messages.Answer:
-        """Generate; what was streamed before a failure can be resumed elsewhere."""
+    def run(self, pending: pending_runs.PendingRun) -> messages.Answer:
+        """Stream a generation; after a failure the tokens sent so far can be resumed elsewhere."""
         terms = pending.run.generation
         if terms is None:
-            return _answer(messages.Outcome.NOT_RUN, "not-a-generation")
+            return _build_answer(messages.Outcome.NOT_RUN, "not-a-generation")
         before = self._keeper.read_state()
         version = before.usable_version
         if version is None or version < terms.oldest_version:
-            return _answer(messages.Outcome.NOT_RUN, REASON_OUT_OF_ROTATION, 500)
-        started = self._backend.generate(_read_generation(pending.run, terms), pending.deadline)
+            return _build_answer(messages.Outcome.NOT_RUN, REASON_OUT_OF_ROTATION, 500)
+        started = self._backend.generate(_build_generation(pending.run, terms), pending.deadline)
         if started.is_error():
-            return _judge_error(started.error)
+            return _convert_error(started.error)
         stream = started.ok
         pending.stop_backend = stream.cancel
         try:
@@ -87,65 +88,66 @@
 
     def _forward(
         self,
-        pending: work.PendingRun,
+        pending: pending_runs.PendingRun,
         stream: engine.GenerationStream,
         before: weights.WeightState,
     ) -> messages.Answer:
         """
-        Pass tokens on while they are made.
+        Forward tokens to the entry as the engine produces them.
 
-        `before` was read before the engine was asked. Read once its answer began, it could be
-        the state after a load that the first tokens came before.
+        `before` must be read before the engine is called: read after its answer begins, it could
+        be the state after a weight load that the first tokens precede.
 
-        An engine that states versions and stops, or starts, in mid-stream has no whole weights
-        for a part of it. Going on past the part would leave a hole in the text; what was passed
-        on before it is whole, and the rest is made elsewhere.
+        An engine that states versions for only part of a stream had incompletely loaded weights
+        during the other part. Skipping that part would leave a gap in the text, so the stream is
+        cancelled there; the tokens sent before it are complete, and the rest is generated
+        elsewhere.
         """
         sent = 0
         unlabelled: list[engine.Chunk] = []
         for result in stream:
             if pending.is_unwanted:
                 stream.cancel()
-                return _answer(messages.Outcome.FAILED, REASON_CANCELLED)
+                return _build_answer(messages.Outcome.FAILED, REASON_CANCELLED)
             if result.is_error():
-                return _judge_error(result.error)
+                return _convert_error(result.error)
             chunk = result.ok
             self._keeper.record_token_marking(chunk.version is not None)
             if chunk.version is None:
                 unlabelled.append(chunk)
             elif not unlabelled:
                 sent += 1
-                pending.send(_write_tokens(pending.run, chunk, chunk.version))
-            is_hopeless = sent or chunk.version is not None or before.is_order_pending
-            if unlabelled and is_hopeless:
+                pending.send(_build_tokens(pending.run, chunk, chunk.version))
+            cannot_label = sent or chunk.version is not None or before.is_order_pending
+            if unlabelled and cannot_label:
                 stream.cancel()
-                return _answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
+                return _build_answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
             if chunk.is_last:
                 return self._end(pending, unlabelled, before)
-        return _answer(messages.Outcome.FAILED, "stream-broke-off")
+        return _build_answer(messages.Outcome.FAILED, "stream-broke-off")
 
     def _end(
         self,
-        pending: work.PendingRun,
+        pending: pending_runs.PendingRun,
         unlabelled: list[engine.Chunk],
         before: weights.WeightState,
     ) -> messages.Answer:
         """
-        Send what the engine did not label, if its weights can't have changed meanwhile.
+        Send the unlabelled tokens if the engine's weights can't have changed meanwhile.
 
-        The engine is asked for its version again; a version that differs, or an order that was
-        open at any time, means some tokens may come from either, and all are thrown away.
+        The engine is asked for its version again. If it differs, or a weight order was open at any
+        time, some tokens may come from either version, and all unlabelled ones are discarded.
         """
         if unlabelled:
             version = self._keeper.confirm_unchanged(before)
             if version is None:
-                return _answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
+                return _build_answer(messages.Outcome.FAILED, REASON_LABEL_UNKNOWN)
             for chunk in unlabelled:
-                pending.send(_write_tokens(pending.run, chunk, version))
-        return _answer(messages.Outcome.DONE, "", status=200)
+                pending.send(_build_tokens(pending.run, chunk, version))
+        return _build_answer(messages.Outcome.DONE, "", status=200)
 
 
-def _read_generation(run: messages.Run, terms: messages.GenerationTerms) -> engine.Generation:
+def _build_generation(run: messages.Run, terms: messages.GenerationTerms) -> engine.Generation:
     return engine.Generation(
         request_id=f"{run.trace_id}.{run.request_id}",
         prompt=run.body.decode("utf-8", "replace"),
@@ -157,18 +159,18 @@
     )
 
 
-def _write_tokens(run: messages.Run, chunk: engine.Chunk, version: int) -> messages.Tokens:
+def _build_tokens(run: messages.Run, chunk: engine.Chunk, version: int) -> messages.Tokens:
     return messages.Tokens(run.request_id, chunk.text, chunk.tokens, version)
 
 
-def _judge_error(error: engine.EngineError) -> messages.Answer:
+def _convert_error(error: engine.EngineError) -> messages.Answer:
     if error.not_run:
-        return _answer(messages.Outcome.NOT_RUN, "engine-refused", error.retry_after_ms)
-    return _answer(messages.Outcome.FAILED, "engine-failed")
+        return _build_answer(messages.Outcome.NOT_RUN, "engine-refused", error.retry_after_ms)
+    return _build_answer(messages.Outcome.FAILED, "engine-failed")
 
 
-def measure(runner: Runner, pending: work.PendingRun) -> messages.Answer:
-    """Run a request and note how long its backend server took."""
+def run_timed(runner: Runner, pending: pending_runs.PendingRun) -> messages.Answer:
+    """Run a request; return its answer with the milliseconds that the backend server took."""
     started_at = clock.read_now()
     answer = runner.run(pending)
     service_ms = int((clock.read_now() - started_at) * 1000)
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -14,7 +14,7 @@
     configuration_sync,
     executor,
     exit_codes,
-    ledger,
+    key_ledger,
     lifecycle,
     order_audit,
     runners,
@@ -56,7 +56,7 @@
         self._executor = executor.Executor(
             self._queue, self._create_runner(), self._group, chosen.slots
         )
-        self._key_ledger = ledger.Ledger(
+        self._key_ledger = key_ledger.KeyLedger(
             self._incarnation,
             chosen.kept_answers * _KEYS_PER_KEPT_ANSWER,
             chosen.kept_answer_bytes,
@@ -157,7 +157,7 @@
         if self._weight_reconciler is not None:
             self._weight_reconciler.stop_ordering()
         self._links.broadcast_heartbeat()
-        self._executor.hand_over()
+        self._executor.refuse_waiting()
         deadline = clock.start_deadline_ms(self._settings.drain_ms)
         pause = threading.Event()
         while not self._is_idle and not deadline.is_past:
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -7,7 +7,7 @@
 
 from oleander_base import clock, invariants, log
 from oleander_wire import link, messages
-from oleanderdeal import configuration_sync, executor, ledger, lost_answers, work
+from oleanderdeal import configuration_sync, executor, key_ledger, lost_answers, pending_runs
 
 _HELLO_TIMEOUT_SECONDS = 5.0
 _MAX_RUNS_PER_LINK = 1024
@@ -25,7 +25,7 @@
         heartbeat_ms: int,
         read_heartbeat: HeartbeatReader,
         run_executor: executor.Executor,
-        key_ledger: ledger.Ledger,
+        key_ledger: key_ledger.KeyLedger,
         synchronizer: configuration_sync.ConfigurationSynchronizer,
     ) -> None:
         self._hello = hello
@@ -142,7 +142,7 @@
         self,
         opened: link.Link,
         run_executor: executor.Executor,
-        key_ledger: ledger.Ledger,
+        key_ledger: key_ledger.KeyLedger,
         undelivered: lost_answers.LostAnswers,
     ) -> None:
         self._link = opened
@@ -210,7 +210,7 @@
         work_id = uuid.uuid4().hex
         with self._lock:
             self._work_ids[run.request_id] = work_id
-        pending = work.PendingRun(
+        pending = pending_runs.PendingRun(
             work_id=work_id,
             run=run,
             deadline=clock.start_deadline_ms(run.budget_ms),
