--- a/programs/oleanderdeal/oleanderdeal/connect.py
+++ b/programs/oleanderdeal/oleanderdeal/connect.py
@@ -1,4 +1,4 @@
-"""The one place where the adapters to the platform are chosen."""
+"""Creates the clients of the platform's services; the only place that selects adapters."""
 
 import importlib
 
@@ -7,14 +7,14 @@
 
 
 def open_log(chosen: settings.Settings) -> logservice.LogService:
-    """Return the platform's log service."""
+    """Create the client of the platform's log."""
     adapter = importlib.import_module("oleander_platform.http_logservice")
     log: logservice.LogService = adapter.HttpLogService(chosen.log_url)
     return log
 
 
 def open_host_list(chosen: settings.Settings) -> hostlist.HostList:
-    """Return the platform's list of hosts."""
+    """Create the client of the platform's host list."""
     adapter = importlib.import_module("oleander_platform.http_hostlist")
     hosts: hostlist.HostList = adapter.HttpHostList(chosen.hosts_url)
     return hosts
--- a/programs/oleanderdeal/oleanderdeal/hosts.py
+++ b/programs/oleanderdeal/oleanderdeal/hosts.py
@@ -1,4 +1,4 @@
-"""Follows the platform's host list: which sidecars an entry links to."""
+"""Follows the platform's host list and chooses the sidecars that an entry links to."""
 
 from oleander_base import clock, log, tasks
 from oleander_platform import hostlist
@@ -11,11 +11,10 @@
 
 class HostFollower:
     """
-    Links to a bounded subset of the live hosts; the list lags, so it is only a hint.
+    Keeps links to a bounded subset of the listed hosts; the list lags, so it is only a hint.
 
-    A host that vanished from the list stays linked to as long as the list can't be read at all.
-    A list that was emptied is taken for one that can't be read: with no host at all there is
-    nothing to gain from believing it, and a fault of the list would refuse all work.
+    While the list can't be read, the links of the last list are kept. An empty list is treated
+    as unreadable: accepting it gains nothing, and if the list is at fault, would refuse all work.
     """
 
     def __init__(
@@ -35,7 +34,7 @@
         self._group = group
 
     def follow(self) -> None:
-        """Read the list until the group stops."""
+        """Poll the list until the group stops."""
         while not self._group.is_stopping:
             self._read_list()
             self._group.pause(_POLL_SECONDS)
@@ -43,10 +42,10 @@
     def _read_list(self) -> None:
         read = self._host_list.read(clock.start_deadline(_READ_TIMEOUT_SECONDS))
         if read.is_error():
-            log.warn_bounded("hosts-unread", f"going on with the last list: {read.error.detail}")
+            log.warn_bounded("hosts-unread", f"keeping the last host list: {read.error.detail}")
             return
         if not read.ok and self._links.list_links():
-            log.warn_bounded("hosts-empty", "going on with the last list: this one is empty")
+            log.warn_bounded("hosts-empty", "keeping the last host list: the new one is empty")
             return
         chosen = self._choose_subset(read.ok)
         self._links.set_hosts(chosen, covers_all=len(chosen) == len(read.ok))
--- a/programs/oleanderdeal/oleanderdeal/lifecycle.py
+++ b/programs/oleanderdeal/oleanderdeal/lifecycle.py
@@ -1,4 +1,4 @@
-"""Waits for the signal that asks a process to stop."""
+"""Process lifecycle: signals to stop or reload, the address line at start, and forced exit."""
 
 import os
 import signal
@@ -10,9 +10,9 @@
 
 class ReloadSignal:
     """
-    Set by SIGHUP, which says that the settings file has changed.
+    Records SIGHUP, which asks the process to reload its settings file.
 
-    Without a handler the signal ends the process, with all requests in progress.
+    Without a handler the signal would end the process with all its requests in progress.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         signal.signal(signal.SIGHUP, self._receive)
 
     def consume(self) -> bool:
-        """Return whether the signal came since the last call."""
+        """Return whether the signal arrived since the last call."""
         was_received = self._received.is_set()
         self._received.clear()
         return was_received
@@ -31,9 +31,9 @@
 
 class StopSignal:
     """
-    Set by SIGTERM or SIGINT; a planned stop then finishes what runs.
+    Records SIGTERM or SIGINT, which ask the process to finish its requests and stop.
 
-    A second signal changes nothing: whoever sends it twice would cut requests that the first one
+    A second signal is ignored, since stopping at once would cut requests that the first signal
     promised to finish. SIGKILL, or the setting `drain_ms`, ends a stop that takes too long.
     """
 
@@ -43,7 +43,7 @@
             signal.signal(number, self._receive)
 
     def wait(self, seconds: float) -> bool:
-        """Wait; return whether the process should stop."""
+        """Wait up to `seconds` for a signal; return whether the process should stop."""
         return self._received.wait(seconds)
 
     def _receive(self, number: int, frame: types.FrameType | None) -> None:
@@ -51,12 +51,12 @@
 
 
 def announce_address(host: str, port: int) -> None:
-    """Print where the process listens; with port 0 nobody else knows."""
+    """Print the listening address; with port 0 the port is known only to this process."""
     print(f"listening on {host}:{port}", flush=True)  # noqa: T201
 
 
 def end_process(code: int) -> typing.NoReturn:
-    """End at once, for a process with threads that are blocked in calls nobody waits for."""
+    """Exit immediately without joining threads that are blocked in calls."""
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(code)
--- a/programs/oleanderdeal/oleanderdeal/order_audit.py
+++ b/programs/oleanderdeal/oleanderdeal/order_audit.py
@@ -1,4 +1,4 @@
-"""Writes orders to engines into the log, for the audit trail."""
+"""Writes load orders and their outcomes to the log, for the audit command."""
 
 import queue
 import typing
@@ -17,10 +17,10 @@
 
 class OrderAuditLog:
     """
-    A bounded queue of reports; at the bound the newest is dropped and counted in the log.
+    Queues reports of orders and appends them to the log; if the queue is full, drops new ones.
 
-    The trail tells people what happened; nothing that the system promises rests on it, so it
-    never holds up an order.
+    The audit log is for operators only and no guarantee of the system depends on it, so it never
+    delays an order. Drops are reported by a warning.
     """
 
     def __init__(self, host: str, service: logservice.LogService, group: tasks.TaskGroup) -> None:
@@ -30,7 +30,7 @@
         self._pending: queue.Queue[dict[str, typing.Any]] = queue.Queue(_MAX_PENDING)
 
     def report(self, order: weights.OrderReport) -> None:
-        """Take a report; never blocks."""
+        """Queue a report without blocking."""
         value = {
             "kind": "order",
             "host": self._host,
@@ -42,10 +42,10 @@
         try:
             self._pending.put_nowait(value)
         except queue.Full:
-            log.warn_bounded("orders-dropped", "the log is down for too long to keep the trail")
+            log.warn_bounded("orders-dropped", "the queue of order reports is full")
 
     def write(self) -> None:
-        """Append what waits until the group stops."""
+        """Append queued reports until the group stops, retrying until each batch succeeds."""
         while not self._group.is_stopping:
             values = self._take_batch()
             while values and not self._group.is_stopping:
--- a/programs/oleanderdeal/oleanderdeal/sampling.py
+++ b/programs/oleanderdeal/oleanderdeal/sampling.py
@@ -1,4 +1,4 @@
-"""Makes the samples of registered steps: one task finds work, each sample has its own."""
+"""Generates the samples of registered steps: one task takes work, and each sample has its own."""
 
 import dataclasses
 import threading
@@ -20,10 +20,11 @@
 
 class LastPeers:
     """
-    Who made each sample last; bounded, the sample noted longest ago is forgotten.
+    Remembers the sidecar that each sample was last sent to; bounded, evicts the oldest record.
 
-    A sample that is moved away from a slow engine, or raced against it, gains nothing by going
-    there again, and an engine that was emptied for its slowness draws work by its low load.
+    It serves to exclude that sidecar from the sample's next attempt: a sample that is moved away
+    from a slow engine, or hedged against it, gains nothing by going there again, but the low load
+    of an engine that lost its work for being slow would attract it.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,7 @@
         self._peer_names: dict[tuple[str, str, int, int], str] = {}
 
     def record(self, step: sample_steps.Step, number: int, peer_name: str) -> None:
-        """Remember the sidecar that a sample is given to."""
+        """Record the sidecar that a sample is sent to."""
         key = (step.customer, step.trainer, step.step, number)
         with self._lock:
             self._peer_names.pop(key, None)
@@ -40,14 +41,14 @@
                 self._peer_names.pop(next(iter(self._peer_names)))
 
     def find(self, step: sample_steps.Step, number: int) -> frozenset[str]:
-        """Return the sidecar to avoid, if any."""
+        """Return the sidecar to exclude for a sample's next attempt, or an empty set."""
         with self._lock:
             name = self._peer_names.get((step.customer, step.trainer, step.step, number))
         return frozenset() if name is None else frozenset((name,))
 
 
 class SampleObserver(dispatch.Observer):
-    """Hands a sample's tokens to its step as they come."""
+    """Passes a sample's tokens to its step's collector as they arrive."""
 
     def __init__(
         self,
@@ -61,27 +62,27 @@
         self._cancelled = threading.Event()
 
     def see_peer(self, name: str) -> None:
-        """Remember who makes the sample, so that its next attempt goes elsewhere."""
+        """Record the sidecar, so that the sample's next attempt goes to another one."""
         self._last_peers.record(self._collector.step, self._work.number, name)
 
     def see_tokens(self, tokens: messages.Tokens) -> None:
-        """Add the next tokens."""
+        """Add tokens to the sample."""
         self._collector.note_progress(
             self._work.work_id, tokens.text, tokens.tokens, tokens.version
         )
 
     def cancel(self) -> None:
-        """Stop the sample: another copy was whole first, or it could not be delivered."""
+        """Cancel the sample: another copy finished first, or it can't be delivered any more."""
         self._cancelled.set()
 
     def is_gone(self) -> bool:
-        """Return whether the sample is of no more use."""
+        """Return whether the sample was cancelled."""
         return self._cancelled.is_set()
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _StepWork:
-    """Work and the step that it belongs to."""
+    """One sample to generate, and the collector of its step."""
 
     step_collector: collector.StepCollector
     work: sample_work.SampleWork
@@ -89,9 +90,9 @@
 
 class SamplingPool:
     """
-    Takes work from every open step in turn and runs a bounded number of samples at once.
+    Runs samples of all open steps concurrently, taking work from the steps in round-robin order.
 
-    At the bound no more work is taken from the steps, where it waits.
+    The number of concurrent samples is bounded; at the bound, work stays queued in its step.
     """
 
     def __init__(
@@ -115,15 +116,15 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no sample is being made."""
+        """Whether no sample is in progress."""
         return not self._observers
 
     def drain(self) -> None:
-        """Start no more samples; those under way are finished."""
+        """Start no more samples; those in progress are finished."""
         self._draining.set()
 
     def feed(self) -> None:
-        """Start samples as long as there is work and room, until the group stops."""
+        """Start samples while there is work and a free slot, until the group stops."""
         while not self._group.is_stopping:
             self._cancel_all(self._steps.take_cancellations())
             metrics.record_gauge(metrics.SAMPLES_RUNNING, len(self._observers))
@@ -170,7 +171,9 @@
         trainer = terms.find_trainer(step_collector.step.trainer) if terms else None
         if terms is None or trainer is None:
             step_collector.fail_work(work.work_id)
-            log.warn_bounded("sample-without-contract", "a step's contract is no longer in force")
+            log.warn_bounded(
+                "sample-without-contract", "the customer's contract or trainer no longer exists"
+            )
             self._group.pause(_MAX_RETRY_PAUSE_SECONDS)
             return
         self._dispatch_sample(step_collector, work, _create_job(work, terms, trainer), observer)
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -1,4 +1,4 @@
-"""Answers trainers: weights announced, steps registered, samples pulled."""
+"""The HTTP API for trainers: publish weights, register steps and pull samples."""
 
 import collections.abc
 import json
@@ -18,7 +18,7 @@
 
 
 class TrainerApi:
-    """Handles what stands below /v1/customers/CUSTOMER/models and /trainers."""
+    """Handles requests below /v1/customers/CUSTOMER/models and /v1/customers/CUSTOMER/trainers."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
     def put_version(
         self, request: http_messages.HttpRequest, customer: str, model: str, version_text: str
     ) -> http_messages.HttpAnswer:
-        """Announce weights; answers once the log holds them."""
+        """Publish a weight version; responds once the log holds its record."""
         terms = self._configuration.find_contract(customer)
         if terms is None or all(item.model != model for item in terms.trainers):
             return _answer_not_found("no-such-model")
@@ -49,7 +49,7 @@
         if not _NUMBER_PATTERN.fullmatch(version_text) or uri is None:
             place = "body.uri" if uri is None else "path version"
             return http_messages.answer_findings(
-                findings.Findings((findings.Finding(place, "is missing or wrong"),))
+                findings.Findings((findings.Finding(place, "is missing or invalid"),))
             )
         deadline = clock.start_deadline(_PUBLISH_TIMEOUT_SECONDS)
         published = self._versions.publish(customer, model, int(version_text), uri, deadline)
@@ -67,11 +67,11 @@
     def put_step(
         self, request: http_messages.HttpRequest, customer: str, trainer: str, step_text: str
     ) -> http_messages.HttpAnswer:
-        """Register a step; the same body again changes nothing."""
+        """Register a step; repeating the same request changes nothing."""
         if self._is_draining():
             return http_messages.answer_problem(
                 http_messages.Problem(
-                    503, "This entry is leaving.", "not-run", "leaving", _RETRY_AFTER_MS
+                    503, "This entry is shutting down.", "not-run", "leaving", _RETRY_AFTER_MS
                 )
             )
         terms = self._find_terms(customer, trainer)
@@ -92,7 +92,7 @@
     def pull(
         self, request: http_messages.HttpRequest, customer: str, trainer: str, step_text: str
     ) -> http_messages.HttpAnswer:
-        """Answer a pull with samples that the trainer does not have."""
+        """Return samples of a step that the trainer does not hold yet, waiting for new ones."""
         parsed = readers.read_pull(request.body)
         if parsed.is_error():
             return http_messages.answer_findings(parsed.error)
@@ -118,7 +118,7 @@
     def _pull(
         self, step_collector: collector.StepCollector, pull: pulls.Pull
     ) -> expression.Result[pulls.PullAnswer, pulls.PullRefusal]:
-        """Pull, waiting only while that leaves threads for others."""
+        """Pull samples; wait for new ones only if enough threads remain for other requests."""
         if not self._threads.take(gates.Gate.PULL):
             return step_collector.pull(pull, 0.0)
         try:
@@ -127,7 +127,7 @@
             self._threads.give_back(gates.Gate.PULL)
 
     def delete_step(self, customer: str, trainer: str, step_text: str) -> http_messages.HttpAnswer:
-        """End a step early; one that is not known here has ended already."""
+        """End a step early; succeeds also if the step is unknown, since it has ended already."""
         if _NUMBER_PATTERN.fullmatch(step_text):
             self._steps.delete(customer, trainer, int(step_text))
         return http_messages.answer_json({})
@@ -141,7 +141,11 @@
     if reason is registry.RefusalReason.TOO_MANY:
         return http_messages.answer_problem(
             http_messages.Problem(
-                503, "Too many steps are open here.", "not-run", reason.value, _RETRY_AFTER_MS
+                503,
+                "Too many steps are open at this entry.",
+                "not-run",
+                reason.value,
+                _RETRY_AFTER_MS,
             )
         )
     return http_messages.answer_problem(
@@ -160,7 +164,7 @@
 
 def _answer_not_found(reason: str) -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
-        http_messages.Problem(404, "There is no such thing here.", "not-run", reason)
+        http_messages.Problem(404, "There is no such resource at this entry.", "not-run", reason)
     )
 
 
@@ -173,6 +177,6 @@
         case _:
             return http_messages.answer_problem(
                 http_messages.Problem(
-                    409, "A newer pull took its place.", "not-run", refusal.reason.value
+                    409, "The pull was superseded by a newer one.", "not-run", refusal.reason.value
                 )
             )
--- a/programs/oleanderdeal/oleanderdeal/trainer_incarnations.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_incarnations.py
@@ -1,9 +1,10 @@
 """
-Makes known which run of a trainer is the newest, to every entry.
+Tells every entry, through the log, which incarnation of a trainer is the newest.
 
-An older run of a trainer that wakes up, or that never noticed its replacement, is refused with
-"superseded" wherever it asks, once the news is there. Exactly-once does not rest on it, but on
-each run's own statement of what it holds; the news saves the work done for a run that is gone.
+Once an entry has read the record, it refuses older incarnations of the trainer as "superseded",
+for instance one that was paused or did not notice its replacement. Exactly-once delivery does not
+depend on this, but on each incarnation's own list of the samples it holds; the refusal saves work
+for an incarnation that is gone.
 """
 
 import queue
@@ -22,10 +23,10 @@
 
 class TrainerIncarnations:
     """
-    Tells the log of new runs, and the step registry of what the log says.
+    Appends new incarnations to the log, and passes those read from it to the step registry.
 
-    The queue is bounded; at the bound the newest news is dropped, and sent again with the
-    trainer's next step.
+    The queue is bounded; if it is full, a new record is dropped, and queued again when the
+    trainer registers its next step.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._pending: queue.Queue[records.TrainerRecord] = queue.Queue(_MAX_PENDING)
 
     def is_superseded(self, customer: str, trainer: str, incarnation: int) -> bool:
-        """Return whether a newer run is known; take this one in if not."""
+        """Return whether a newer incarnation is known; if this one is newest, queue its record."""
         newest = self._configuration.find_incarnation(customer, trainer)
         if incarnation > newest:
             self._enqueue(
@@ -53,7 +54,7 @@
         return incarnation < newest
 
     def update_steps(self) -> None:
-        """Hand the newest runs to the step registry."""
+        """Pass the newest incarnations in the configuration to the step registry."""
         for terms in self._configuration.list_contracts():
             for trainer in terms.trainers:
                 newest = self._configuration.find_incarnation(terms.customer, trainer.name)
@@ -61,7 +62,7 @@
                     self._steps.note_incarnation(terms.customer, trainer.name, newest)
 
     def write(self) -> None:
-        """Append what waits until the group stops; an outage delays it."""
+        """Append queued records until the group stops; during an outage of the log, retry."""
         while not self._group.is_stopping:
             try:
                 record = self._pending.get(timeout=_QUEUE_WAIT_SECONDS)
@@ -84,4 +85,4 @@
         try:
             self._pending.put_nowait(record)
         except queue.Full:
-            log.warn_bounded("trainer-runs-dropped", "too much news of trainers waits for the log")
+            log.warn_bounded("trainer-runs-dropped", "the queue of trainer incarnations is full")
