--- a/programs/oleanderdeal/oleanderdeal/checkpoints.py
+++ b/programs/oleanderdeal/oleanderdeal/checkpoints.py
@@ -1,4 +1,4 @@
-"""Keeps the starts of texts in the log, and hands batches over when a process stops."""
+"""Saves partial texts of batches to the log, and hands batches over when a process stops."""
 
 import threading
 
@@ -7,11 +7,11 @@
 from oleanderdeal import batch_run, batch_tenures
 
 _STOP_TIMEOUT_SECONDS = 0.2
-"""In which the streams of a stopped run have ended, unless a server is silent."""
+"""Wait for the streams of a stopped run to end; only a server that hangs takes longer."""
 
 
 class BatchCheckpoints:
-    """Writes what other processes need to go on with a batch; safe to use from several threads."""
+    """Saves the progress that other processes need to continue a batch; thread-safe."""
 
     def __init__(
         self, batch_journal: journal.BatchJournal, tenures: batch_tenures.BatchTenures
@@ -22,7 +22,7 @@
         self._released_batch_ids: set[str] = set()
 
     def save(self, run: batch_run.BatchRun, min_events: int, event: str = "kept") -> bool:
-        """Keep the starts that grew by so many events; return whether none is left to be kept."""
+        """Save partial texts that grew by at least `min_events`; return False if that failed."""
         partials = run.list_grown(min_events) if run.batch.is_open else []
         if not partials:
             return True
@@ -34,11 +34,11 @@
             batch=run.batch.batch_id,
             texts=len(partials),
             error=saved.error.detail if saved.is_error() else "",
-        ).info("others can go on")
+        ).info("saving partial texts for other processes")
         return saved.is_ok()
 
     def hand_over(self, runs: dict[str, batch_run.BatchRun]) -> None:
-        """Hand over the batches whose texts the log takes; call it again for the others."""
+        """Save and hand over batches; call again to retry those that the log did not accept."""
         with self._lock:
             for batch_id, run in runs.items():
                 if batch_id in self._released_batch_ids or not run.batch.is_open:
@@ -49,10 +49,11 @@
 
     def _save_and_stop(self, run: batch_run.BatchRun) -> bool:
         """
-        Stop a run if the log takes the starts of its texts; return whether they are kept.
+        Stop a run once the log accepts its partial texts; return whether all are saved.
 
-        What was made since they were listed is kept once its streams have ended. Where there is no
-        start yet, only the record that hands the batch over shows whether the log answers.
+        They are saved twice: while the run goes on, to find out whether the log answers, and
+        after its streams have ended, with the text generated since. A run without partial texts
+        is not stopped here; the record that hands its batch over shows whether the log answers.
         """
         if run.is_given_up or not run.list_grown(1):
             return True
--- a/programs/oleanderdeal/oleanderdeal/configuration.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration.py
@@ -1,4 +1,4 @@
-"""Follows the configuration stream, and trades records with peers while the log is down."""
+"""Follows the configuration stream in the log, and through peers while the log is down."""
 
 import collections.abc
 import random
@@ -17,7 +17,7 @@
 
 
 class ConfigurationFollower:
-    """Folds the stream in order, from the log or from whichever peer is ahead."""
+    """Applies the stream's records in order, read from the log or received from peers."""
 
     def __init__(
         self,
@@ -27,7 +27,12 @@
         poll_ms: int,
         is_peer_fed: collections.abc.Callable[[], bool] = lambda: False,
     ) -> None:
-        """Create a follower; while it is fed by peers it reads the log only now and then."""
+        """
+        Create a follower that long-polls the log for `poll_ms`.
+
+        While `is_peer_fed` returns true, peers send new records, and the log is read only every
+        few seconds.
+        """
         self._service = service
         self._configuration = configuration
         self._group = group
@@ -42,16 +47,16 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether this process knows what was in force when it started."""
+        """Whether this process has read the configuration that was current at its start."""
         return self._caught_up.is_set()
 
     @property
     def configuration(self) -> fold.ConfigurationFold:
-        """What is in force."""
+        """The configuration as applied so far."""
         return self._configuration
 
     def add_change_listener(self, listener: collections.abc.Callable[[], None]) -> None:
-        """Call a function after each change; it must not block."""
+        """Register a function to call after each change; it must not block."""
         self._listeners.append(listener)
 
     def follow(self) -> None:
@@ -62,7 +67,7 @@
             self._group.pause(self._poll_ms / 1000)
 
     def create_missing_records(self, peer_offset: int) -> messages.Records:
-        """Return what a peer lacks: the records themselves, or a snapshot where they are gone."""
+        """Return the records after a peer's offset, or a snapshot if those were discarded."""
         missing = self._configuration.records_after(peer_offset)
         if missing.is_error():
             return messages.Records([], [], [], self._configuration.create_snapshot())
@@ -75,12 +80,13 @@
 
     def record_peer_offset(self, offset: int) -> None:
         """
-        Take in how far a peer is; catch up with the newest peer if the log can't be read.
+        Record a peer's offset; if the log can't be read, count as caught up with the newest peer.
 
-        The first peer heard may itself lag. Starting from it could show a contract that was
-        already replaced, so others are waited for a while, and the newest of them is reached.
-        Where no peer has anything, all were replaced in the outage. To go on with nothing would
-        answer callers as if no contract had ever been accepted; only the log can tell then.
+        The first peer to report may itself lag, and starting from it could apply a contract that
+        was already replaced. So this waits a while for other peers and until the highest of
+        their offsets is applied. If no peer has any record, all were replaced during the outage.
+        Serving an empty configuration would answer callers as if no contract had ever been
+        accepted, so this process then waits for the log.
         """
         self._newest_peer_offset = max(self._newest_peer_offset, offset)
         if self._peer_wait_deadline is None:
@@ -90,7 +96,7 @@
             self._caught_up.set()
 
     def apply_peer_records(self, received: messages.Records) -> None:
-        """Fold what a peer sent; the log's order is in the offsets, so the source is no matter."""
+        """Apply records received from a peer, in the order that their log offsets give."""
         before = self._configuration.applied_offset
         if received.snapshot is not None:
             self._configuration.install_snapshot(received.snapshot)
@@ -103,11 +109,11 @@
 
     def _is_read_due(self) -> bool:
         """
-        Tell whether to ask the log; thousands of sidecars that all do would overload it.
+        Return whether to read the log now; thousands of polling sidecars would overload it.
 
-        A link does not show that its entry still reads the log: it may be cut off or paused. Were
-        the log left alone for long, a change would reach neither the sidecar nor, through it, the
-        entry for as long; a read every few seconds bounds that.
+        An open link does not prove that the entry at its other end still reads the log: the entry
+        may be cut off or paused. If the sidecar never read the log itself, a change would reach
+        neither it nor, through it, the entry. A read every few seconds bounds that delay.
         """
         if not self._caught_up.is_set() or not self._is_peer_fed():
             return True
@@ -147,6 +153,6 @@
 
 
 def _create_read_deadline() -> clock.Deadline:
-    """Return when a fed process asks the log next; at random, so that many don't ask at once."""
+    """Return a random deadline for a peer-fed process's next read, to spread load on the log."""
     shortest = _MAX_PEER_FED_READ_SECONDS * (1 - _PEER_FED_READ_JITTER)
     return clock.start_deadline(random.uniform(shortest, _MAX_PEER_FED_READ_SECONDS))
--- a/programs/oleanderdeal/oleanderdeal/configuration_reader.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration stream to its end, for one command."""
+"""Reads the configuration stream to its end for an operator's command."""
 
 import collections.abc
 
@@ -18,9 +18,9 @@
 
 class ConfigurationReader:
     """
-    Folds the stream as every process does, and shows each record to a listener.
+    Applies the stream's records as every process does, and passes each to a listener.
 
-    The verdicts on the newest records are kept, bounded in number and bytes.
+    The verdicts on the newest records are kept, bounded by count and by bytes.
     """
 
     def __init__(
@@ -32,18 +32,18 @@
 
     @property
     def fold(self) -> fold.ConfigurationFold:
-        """What is in force, as far as was read."""
+        """The configuration as of the last record read."""
         return self._fold
 
     def find_problem(self) -> str:
-        """Read to the end; return why what is in force can't be told, or an empty text."""
+        """Read to the end; return why the configuration is unknown, or an empty string."""
         result = self.read_to_end()
         if result.is_error():
             return f"the log can't be read: {result.error.detail}"
         return NO_SNAPSHOT if self._fold.is_waiting else ""
 
     def read_to_end(self) -> expression.Result[None, logservice.LogError]:
-        """Read until nothing is left to read now."""
+        """Read until the current end of the stream, or until the command's deadline."""
         while True:
             previous_offset = self._fold.next_offset
             match self._log.read(records.STREAM, previous_offset):
@@ -56,7 +56,9 @@
             if self._fold.next_offset > previous_offset:
                 continue
             if self._log.is_expired:
-                return expression.Error(_create_error("it holds back records"))
+                return expression.Error(
+                    _create_error("it does not return records that it says it has")
+                )
             self._log.wait()
 
     def _apply_page(self, page: logservice.Page) -> None:
--- a/programs/oleanderdeal/oleanderdeal/configuration_sync.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration_sync.py
@@ -1,7 +1,7 @@
 """
-Trades configuration records with a peer: whoever is ahead sends what the other lacks.
+Synchronizes configuration records between peers: the one that is ahead sends missing records.
 
-So an accepted configuration spreads, and a replaced process is filled, while the log is down.
+While the log is down this still spreads an accepted configuration, also to restarted processes.
 """
 
 from oleander_wire import link, messages
@@ -9,17 +9,17 @@
 
 
 class ConfigurationSynchronizer:
-    """Compares this process's configuration with peers' and fills the gap either way."""
+    """Exchanges missing configuration records with peers in both directions."""
 
     def __init__(self, follower: configuration.ConfigurationFollower) -> None:
         self._follower = follower
 
     def synchronize(self, peer_offset: int, opened: link.Link) -> None:
         """
-        Send the peer what its heartbeat shows that it lacks, or ask it for what is lacking here.
+        Send records that a peer lacks, or request those that this process lacks.
 
-        Nothing is sent before a heartbeat asks: a sidecar would get each change from every entry
-        at once, where the first that hears its heartbeat is enough.
+        `peer_offset` comes from the peer's heartbeat. Changes are not pushed without one: a
+        sidecar would then receive each change from every entry, where one entry is enough.
         """
         self._follower.record_peer_offset(peer_offset)
         own = self._follower.configuration.applied_offset
@@ -29,7 +29,7 @@
             opened.send(messages.RecordsOffer(own))
 
     def handle(self, message: messages.RecordsOffer | messages.Records, opened: link.Link) -> None:
-        """Answer a peer's offer, or take in the records that it sent."""
+        """Answer a peer's offset with missing records, or apply the records that it sent."""
         if isinstance(message, messages.RecordsOffer):
             self._follower.record_peer_offset(message.applied_offset)
             self._send_missing(message.applied_offset, opened)
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -1,4 +1,4 @@
-"""The entry: answers callers and trainers over HTTP and sends their work to sidecars."""
+"""The entry process: serves callers and trainers over HTTP and sends their work to sidecars."""
 
 import threading
 
@@ -41,7 +41,7 @@
 
 
 class Entry:
-    """Everything that one entry process consists of."""
+    """Wires up and runs the components of one entry process."""
 
     def __init__(self, chosen: settings.Settings) -> None:
         self._settings = chosen
@@ -113,7 +113,7 @@
         )
 
     def run(self, stop: lifecycle.StopSignal) -> None:
-        """Serve until told to stop, then finish what is in progress."""
+        """Serve until stopped, then drain requests in progress."""
         self._follower.add_change_listener(self._trainer_incarnations.update_steps)
         self._group.keep(self._follower.follow)
         self._group.keep(self._host_follower.follow)
@@ -160,13 +160,13 @@
 
     def _drain(self) -> None:
         """
-        Fail the readiness check, start nothing new, and let what runs come to its end.
+        Fail the readiness check, start no new samples, and finish requests in progress.
 
-        Samples in the making are finished and can be pulled; then the steps are closed, so that
-        their trainers register them elsewhere. A trainer would else go on asking here for samples
-        that are no longer made, and the process would not end before the drain's bound.
+        Samples in progress are finished and can be pulled. Then the steps are closed, so that
+        their trainers register them at another entry. Otherwise a trainer would keep polling here
+        for samples that are no longer generated, and draining would always take `drain_ms`.
         """
-        log.logger.bind(event="draining").info("finishing what is in progress")
+        log.logger.bind(event="draining").info("draining requests in progress")
         self._leaving.set()
         self._sampling.drain()
         deadline = clock.start_deadline_ms(self._settings.drain_ms)
@@ -176,7 +176,9 @@
         pause.wait(_DRAIN_POLL_SECONDS)
         self._steps.close()
         if not self._server.await_idle(deadline):
-            log.logger.bind(event="drain-cut").error("stopping with requests in progress")
+            log.logger.bind(event="drain-cut").error(
+                "drain deadline passed, stopping with requests in progress"
+            )
 
     def _close(self) -> None:
         self._group.stop()
@@ -186,7 +188,7 @@
 
 
 def run_entry(chosen: settings.Settings) -> int:
-    """Run an entry until it is told to stop."""
+    """Run an entry until SIGTERM or SIGINT; return the exit code."""
     stop = lifecycle.StopSignal()
     Entry(chosen).run(stop)
     return 0
--- a/programs/oleanderdeal/oleanderdeal/entry_clients.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_clients.py
@@ -1,4 +1,4 @@
-"""What an operator's command asks an entry."""
+"""Clients for the status pages of entries, used by the operator's commands."""
 
 import abc
 import dataclasses
@@ -13,29 +13,29 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntryError:
-    """An entry that gave no usable answer."""
+    """An entry could not be reached or gave no usable answer."""
 
     detail: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntryConfiguration:
-    """How far an entry has applied the configuration."""
+    """How far an entry has applied the configuration, and its links."""
 
     applied_offset: int
     peers: int
-    """The sidecars that it is connected to."""
+    """Number of sidecars that it is connected to."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EntryReport:
-    """What an entry has counted since it started."""
+    """Counters of an entry since its start, by metric name."""
 
     counts: dict[str, int]
 
 
 class EntryClient(abc.ABC):
-    """Asks entries by their URLs."""
+    """Reads the status of entries, given by URL."""
 
     @abc.abstractmethod
     def read_configuration(
@@ -51,7 +51,7 @@
 
 
 class HttpEntryClient(EntryClient):
-    """Asks by HTTP, with the operators' token."""
+    """Reads the status over HTTP, authenticated by the operators' token."""
 
     def __init__(self, token: str) -> None:
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
--- a/programs/oleanderdeal/oleanderdeal/entry_handler.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_handler.py
@@ -1,4 +1,4 @@
-"""Sends each HTTP request of an entry to the part that answers it."""
+"""Routes the HTTP requests of an entry to the caller, trainer and operator APIs."""
 
 import collections.abc
 
@@ -24,7 +24,7 @@
 
 
 class EntryHandler(http_server.Handler):
-    """Checks access and routes by path."""
+    """Checks access tokens and routes requests by method and path."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._is_ready = is_ready
 
     def handle(self, request: http_messages.HttpRequest) -> http_messages.HttpAnswer:
-        """Return the answer to one request."""
+        """Return the response to a request."""
         match (request.method, *request.path):
             case ("GET", "healthz"):
                 return http_messages.answer_json({"status": "up"})
@@ -115,7 +115,12 @@
 
 
 def _answer_starting(request: http_messages.HttpRequest) -> http_messages.HttpAnswer:
-    """Ask to come back; a request with a key may have been sent, and have run, before."""
+    """
+    Return a 503 response that asks the client to retry.
+
+    The outcome of a request with an idempotency key is unknown: it may have been sent, and have
+    run, before.
+    """
     outcome = "unknown" if request.find_header("Idempotency-Key") else "not-run"
     return http_messages.answer_problem(
         http_messages.Problem(
--- a/programs/oleanderdeal/oleanderdeal/ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/ownership.py
@@ -1,4 +1,4 @@
-"""Which partitions the platform deals to this process."""
+"""Membership in the group of batch runners, and the partitions assigned to this process."""
 
 from oleander_base import clock, log, tasks
 from oleander_batches import content
@@ -6,25 +6,25 @@
 
 _GROUP = "oleander.runners"
 _TTL_MS = 2000
-"""A runner that is silent for so long loses its batches to the others."""
+"""Without a heartbeat for this long, a runner loses its partitions to the others."""
 _ASSIGNMENT_VALID_SECONDS = 10.0
-"""For so long after the last answer a process goes on with its batches; outages last seconds,
-and a batch has little more time than this."""
+"""How long a process acts on its assignment after the platform's last answer. Outages last
+seconds, and a batch has little more time than this."""
 _HEARTBEAT_SECONDS = 0.6
-"""Between heartbeats; several fit into the time to live."""
+"""Interval of heartbeats; several fit into the time to live."""
 _LEAVE_RETRY_SECONDS = 0.2
 _CALL_TIMEOUT_SECONDS = 1.0
-"""Half the time to live, so that another try comes in time."""
+"""Half the time to live, so that a retry can still renew the membership."""
 
 
 class PartitionOwnership:
     """
-    Which batches this process runs, as the platform deals them out; a hint.
+    The partitions, and so the batches, that the platform assigns to this process; only a hint.
 
-    Two processes may believe to have the same batch, and one that is cut off goes on believing
-    it for a while. Both then run its items; the index takes the first result of each. Stopping as
-    soon as the platform is silent would lose more: in an outage there is nobody to go on, and all
-    texts that ran would be made again after it.
+    Two processes may act on the same partition for a while, for instance if one of them is cut
+    off from the platform. Both then run the batch's items, and the index keeps the first result
+    of each item. Stopping as soon as the platform is silent would cost more: during an outage no
+    other process takes over, and all texts in progress would be generated again afterwards.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._has_left = False
 
     def maintain_membership(self) -> None:
-        """Stay in the group of runners until the process leaves."""
+        """Send heartbeats until leave() is called, then retry leaving until it succeeds."""
         while not self._group.is_stopping and self._should_be_member:
             self._join()
             self._group.pause(_HEARTBEAT_SECONDS)
@@ -49,24 +49,24 @@
 
     @property
     def partitions(self) -> frozenset[int]:
-        """The partitions dealt to this process, as far as it knows."""
+        """The partitions assigned to this process; empty if the assignment has expired."""
         return self._membership.partitions if self.is_assignment_valid else frozenset()
 
     @property
     def is_assignment_valid(self) -> bool:
-        """Whether the platform's last answer is recent enough to act on."""
+        """Whether the platform's last answer is recent enough to act on it."""
         return clock.read_now() < self._valid_until
 
     def owns(self, partition: int) -> bool:
-        """Tell whether a partition's batches fall to this process."""
+        """Return whether a partition is assigned to this process."""
         return partition in self.partitions
 
     def leave(self) -> None:
         """
-        Leave the group, so that others go on at once.
+        Leave the group, so that other runners take over the partitions immediately.
 
-        Where the log does not answer it is tried again until the process ends: a member that has
-        not left keeps its partitions from the others until its time to live is over.
+        If the log does not answer, `maintain_membership` retries until the process ends: the
+        partitions of a member that has not left are only reassigned after its time to live.
         """
         self._should_be_member = False
         self._valid_until = 0.0
@@ -74,7 +74,7 @@
 
     def _leave(self) -> bool:
         left = self._log.leave(self._create_request(), clock.start_deadline(_CALL_TIMEOUT_SECONDS))
-        log.logger.bind(event="runner-left", ok=left.is_ok()).info("batches go to others")
+        log.logger.bind(event="runner-left", ok=left.is_ok()).info("leaving the group of runners")
         return left.is_ok()
 
     def _create_request(self) -> recordlog.MemberRequest:
@@ -98,6 +98,6 @@
                 event="partitions",
                 generation=joined.ok.generation,
                 partitions=sorted(joined.ok.partitions),
-            ).info("dealt anew")
+            ).info("partitions reassigned")
         self._membership = joined.ok
         self._valid_until = started_at + _ASSIGNMENT_VALID_SECONDS
--- a/programs/oleanderdeal/oleanderdeal/peer_link.py
+++ b/programs/oleanderdeal/oleanderdeal/peer_link.py
@@ -1,4 +1,4 @@
-"""An entry's link to one sidecar, dialled again whenever it breaks."""
+"""An entry's link to one sidecar, which reconnects whenever it breaks."""
 
 import dataclasses
 import math
@@ -25,18 +25,18 @@
 _NOT_RUN_ANSWER = messages.Answer(
     "", messages.Outcome.NOT_RUN, 0, admission_work.LEAVING, 0, b"", 0
 )
-"""What a request comes to that a sidecar left unanswered when it said goodbye."""
+"""The outcome of a request that a sidecar left unanswered when it sent its goodbye."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NotSent:
-    """Nothing was sent, so nothing ran."""
+    """The message was not sent, so the request did not run."""
 
     reason: str
 
 
 class PeerLink:
-    """The link to one sidecar; keeps calling until told to stop."""
+    """A link to one sidecar; redials with backoff until stopped. Thread-safe."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         synchronizer: configuration_sync.ConfigurationSynchronizer,
         group: tasks.TaskGroup,
     ) -> None:
-        """Create a link; without routes it serves only requests that name this sidecar."""
+        """Create a link; without a router it only carries requests that name this sidecar."""
         self._host = host
         self._hello = hello
         self._heartbeat_ms = heartbeat_ms
@@ -74,41 +74,41 @@
 
     @property
     def host(self) -> hostlist.Host:
-        """The host that is linked to."""
+        """The host at the other end."""
         return self._host
 
     @property
     def incarnation(self) -> str:
-        """The run of the sidecar that answered the last hello; empty before the first."""
+        """The incarnation in the sidecar's last hello; empty before the first hello."""
         return self._incarnation
 
     @property
     def ticket_epoch(self) -> int:
-        """The sidecar's epoch of tickets, as its last heartbeat told it."""
+        """The ticket epoch in the sidecar's last heartbeat."""
         return self._ticket_epoch
 
     @property
     def is_open(self) -> bool:
-        """Whether requests can be sent."""
+        """Whether the link is connected, so that requests can be sent."""
         return self._link is not None
 
     @property
     def backend(self) -> str:
-        """The backend that the sidecar last said it belongs to; empty before it said so."""
+        """The backend in the sidecar's last heartbeat; empty before the first heartbeat."""
         return self._backend
 
     @property
     def restarted_at(self) -> float:
-        """When it was last noticed that the sidecar had been started anew."""
+        """When a restart of the sidecar was last noticed; minus infinity if never."""
         return self._restarted_at
 
     @property
     def is_connection_refused(self) -> bool:
-        """Whether nobody listened at the address at the last try: that run of it has ended."""
+        """Whether the last dial was refused: that incarnation of the sidecar has ended."""
         return self._is_connection_refused
 
     def keep_open(self) -> None:
-        """Dial, receive until the link breaks, and dial again."""
+        """Dial, receive until the link breaks, and redial after a backoff until stopped."""
         while not self._is_ending:
             opened = self._dial()
             if opened is not None:
@@ -117,7 +117,7 @@
             self._group.pause(self._compute_pause())
 
     def stop(self) -> None:
-        """End the task and the link."""
+        """Close the link and end keep_open()."""
         self._stopped.set()
         current = self._link
         if current is not None:
@@ -130,26 +130,27 @@
 
     @property
     def has_calls(self) -> bool:
-        """Whether any request on the link has not ended."""
+        """Whether any call on the link is still in progress."""
         return bool(self._calls)
 
     def retire(self) -> None:
-        """Take the link out of routing; the calls on it go on."""
+        """Remove the link from routing; calls on it continue."""
         with self._lock:
             self._is_retired = True
             if self._router is not None:
                 self._router.remove(self.name)
 
     def restore(self) -> None:
-        """Take the link back into routing."""
+        """Return the link to routing with the next heartbeat."""
         self._is_retired = False
 
     def open_call(self, request_id: str, is_only_one: bool = False) -> calls.Call:
         """
         Register a call before its request is sent, so that no event is missed.
 
-        `is_only_one` tells that nobody else sends this request. Only then does a sidecar's goodbye
-        prove that it did not run: a ticket may have run there at another entry's request before.
+        `is_only_one` says that no other entry sends this request. Only then does a goodbye from
+        the sidecar prove that the request did not run: a request with a ticket may have run there
+        before, sent by another entry.
         """
         call = calls.Call(request_id, self.name, is_only_one)
         with self._lock:
@@ -157,12 +158,12 @@
         return call
 
     def close_call(self, call: calls.Call) -> None:
-        """Forget a call; later events for it are ignored."""
+        """Unregister a call; later events for it are ignored."""
         with self._lock:
             self._calls.pop(call.request_id, None)
 
     def send(self, message: messages.Message) -> expression.Result[None, NotSent]:
-        """Send a message; an error means it never left, success that it may have arrived."""
+        """Send a message; an error means that it was not sent, success that it may arrive."""
         current = self._link
         if current is None:
             return expression.Error(NotSent("no link"))
@@ -211,9 +212,10 @@
         """
         Receive until the link breaks or falls silent; return whether the sidecar said goodbye.
 
-        A paused sidecar keeps its connection open; without the bound on silence its calls would
-        wait for their whole deadline instead of being taken elsewhere. If this entry was the one
-        that was paused, the time is up although much has come; so what is there is read first.
+        A paused sidecar keeps its connection open. Without a bound on silence its calls would
+        wait for their whole deadline instead of being sent elsewhere. If this entry itself was
+        paused, the bound has passed although messages have arrived, so buffered ones are read
+        once more before the link is given up.
         """
         silence_ms = self._heartbeat_ms * _MAX_MISSED_HEARTBEATS
         while not self._is_ending:
@@ -224,7 +226,7 @@
                 return False
             if received.ok is None:
                 log.warn_bounded(
-                    f"silent-{self.name}", f"{self.name} sends nothing; dialling anew"
+                    f"silent-{self.name}", f"{self.name} sent no messages, reconnecting"
                 )
                 return False
             if isinstance(received.ok, messages.Goodbye):
@@ -270,10 +272,10 @@
 
     def _handle_disconnect(self, opened: link.Link, said_goodbye: bool) -> None:
         """
-        Take the link out of use and tell its calls.
+        Remove the link from routing, end its calls and abort the connection.
 
-        An orderly close would wait for the peer's own, which never comes from one that is paused;
-        its calls, and the next dial, would wait for that second too.
+        A closing handshake would wait a second for the peer, which never answers if it is paused,
+        and the calls and the next dial would be delayed by that second.
         """
         with self._lock:
             if self._router is not None and not self._is_retired:
--- a/programs/oleanderdeal/oleanderdeal/peers.py
+++ b/programs/oleanderdeal/oleanderdeal/peers.py
@@ -1,4 +1,4 @@
-"""All links of an entry to sidecars: those that routing uses, and single ones to others."""
+"""Manages an entry's links to sidecars."""
 
 import collections.abc
 import math
@@ -11,10 +11,10 @@
 
 class PeerLinks:
     """
-    All links of an entry: those that routing uses, and single ones to other sidecars.
+    An entry's links: routed ones to its subset of sidecars, and extra ones to other sidecars.
 
-    A claim may name a sidecar outside this entry's subset. Links to such are bounded; at the
-    bound the one made longest ago is closed, and calls on it end as if it was lost.
+    Extra links are needed because a claim may name a sidecar outside this entry's subset. Their
+    number is bounded: at the bound the oldest is closed, and its calls end as on a lost link.
     """
 
     def __init__(
@@ -35,18 +35,18 @@
 
     @property
     def lost_at(self) -> float:
-        """When a sidecar, with all it remembered, was last found to be gone."""
+        """When a sidecar was last found removed or restarted, which loses its in-memory state."""
         with self._lock:
             restarts = [item.restarted_at for item in self._links.values()]
         return max([self._last_retired_at, *restarts])
 
     def find(self, name: str) -> peer_link.PeerLink | None:
-        """Return the routed link to a sidecar."""
+        """Return the routed link to a sidecar by name, or None."""
         with self._lock:
             return self._links.get(name)
 
     def find_or_dial(self, name: str, address: str) -> peer_link.PeerLink:
-        """Return the link to the sidecar at an address, which need not be open yet."""
+        """Return the link to a sidecar's address, dialling if needed; it may not be open yet."""
         with self._lock:
             found = self._links.get(name)
             if found is None or found.host.address != address:
@@ -54,27 +54,27 @@
             return found or self._add_extra(name, address)
 
     def list_routed(self, backend: str) -> list[peer_link.PeerLink]:
-        """Return the links to a backend's sidecars, and to those whose backend is not known."""
+        """Return routed links to a backend's sidecars and to sidecars of unknown backend."""
         with self._lock:
             return [item for item in self._links.values() if item.backend in {"", backend}]
 
     def list_links(self) -> list[peer_link.PeerLink]:
-        """Return every link."""
+        """Return all links: routed, retired and extra."""
         with self._lock:
             return [*self._links.values(), *self._retired.values(), *self._extra.values()]
 
     @property
     def covers_all(self) -> bool:
-        """Whether every host of the list is linked to, and not only a subset."""
+        """Whether there are routed links to every listed host, not only to a subset."""
         return self._covers_all
 
     def set_hosts(self, hosts: collections.abc.Iterable[hostlist.Host], covers_all: bool) -> None:
         """
-        Route to these hosts; a host whose address changed is linked to anew.
+        Replace the set of routed hosts; a host whose address changed gets a new link.
 
-        The list lags and may be wrong, and the subset changes as hosts come and go, so a host that
-        is not wanted any more gets no new work, but its link stays open until the calls on it have
-        ended. There are no more of these links than calls.
+        The host list lags and may be wrong, and the subset changes as hosts come and go. So a
+        host that is dropped gets no new work, but its link is retired and stays open until the
+        calls on it have ended. There are never more retired links than calls.
         """
         wanted = {host.name: host for host in hosts}
         self._covers_all = covers_all
@@ -88,7 +88,7 @@
             item.stop()
 
     def stop(self) -> None:
-        """End every link."""
+        """Close every link and stop redialling."""
         for item in self.list_links():
             item.stop()
 
--- a/programs/oleanderdeal/oleanderdeal/retrying_log.py
+++ b/programs/oleanderdeal/oleanderdeal/retrying_log.py
@@ -1,4 +1,4 @@
-"""The log service for one command: asked again until the command's deadline."""
+"""A client of the log for one command, which retries reads until the command's deadline."""
 
 import collections.abc
 import typing
@@ -12,7 +12,7 @@
 
 
 class RetryingLog:
-    """Repeats what failed until a deadline; tries everything once at least."""
+    """Retries failed reads until a deadline; makes every call at least once."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
     def read(
         self, stream: str, offset: int
     ) -> expression.Result[logservice.Page, logservice.LogError]:
-        """Return what the stream holds from an offset on, now."""
+        """Read a stream from an offset without waiting for new records."""
         while True:
             result = self._log.read(stream, offset, 0, self._start_call_deadline())
             match result:
@@ -46,11 +46,11 @@
     def append_once(
         self, stream: str, value: dict[str, typing.Any]
     ) -> expression.Result[int, logservice.LogError]:
-        """Append one record; not repeated, since a failed append may have had its effect."""
+        """Append one record without retries, since a failed append may have taken effect."""
         return self._log.append(stream, [value], self._start_call_deadline())
 
     def wait(self, milliseconds: int = 0) -> None:
-        """Wait a while, at most until the deadline."""
+        """Wait before a retry: at least the minimum pause, at most until the deadline."""
         seconds = max(milliseconds, _MIN_PAUSE_MS) / 1000
         self._pause(min(seconds, self._deadline.remaining))
 
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: the one process that sends work to the backend server beside it."""
+"""The sidecar process: the only one that sends work to the backend server on its host."""
 
 import random
 import threading
@@ -32,7 +32,7 @@
 
 
 class Sidecar:
-    """Everything that one sidecar process consists of."""
+    """Wires up and runs the components of one sidecar process."""
 
     def __init__(self, chosen: settings.Settings) -> None:
         self._settings = chosen
@@ -86,7 +86,7 @@
         return self._executor.is_idle and not is_ordering and not self._links.has_awaited_answers
 
     def run(self, stop: lifecycle.StopSignal) -> exit_codes.ExitCode:
-        """Serve until told to stop, then finish what runs; return the exit status."""
+        """Serve until stopped, then finish running requests; return the exit code."""
         self._group.keep(self._follower.follow)
         self._group.keep(self._order_log.write)
         if self._weight_reconciler is not None:
@@ -101,11 +101,13 @@
         if is_complete:
             self._links.say_goodbye()
         else:
-            log.logger.bind(event="drain-cut").error("stopping with requests in progress")
+            log.logger.bind(event="drain-cut").error(
+                "drain deadline passed, stopping with requests in progress"
+            )
         return exit_codes.ExitCode.OK if is_complete else exit_codes.ExitCode.CUT
 
     def close(self) -> bool:
-        """Close every link and end the tasks; return whether all have ended."""
+        """Close every link and end the tasks; return whether all tasks ended in time."""
         self._group.stop()
         self._links.stop()
         self._server.stop()
@@ -145,13 +147,13 @@
 
     def _drain(self) -> bool:
         """
-        Tell every entry, refuse what is new and what waits, and let what runs come to its end.
+        Refuse new and queued requests, and finish running ones; return whether all have ended.
 
-        It says that it leaves once its queue takes nothing more: whoever has heard so may rely on
-        being refused. Return whether what ran has ended. An order to load is let to end too, so
-        that the next sidecar does not find one that nobody waits for.
+        The queue is closed before the entries are told that this sidecar is leaving, so an entry
+        that knows can rely on new requests being refused. A load order in progress is also
+        awaited, so that the next sidecar does not meet one whose outcome nobody recorded.
         """
-        log.logger.bind(event="draining").info("finishing what runs")
+        log.logger.bind(event="draining").info("draining running requests")
         self._queue.close()
         self._leaving.set()
         if self._weight_reconciler is not None:
@@ -166,7 +168,7 @@
 
 
 def run_sidecar(chosen: settings.Settings) -> int:
-    """Run a sidecar until it is told to stop."""
+    """Run a sidecar until SIGTERM or SIGINT; return the exit code."""
     stop = lifecycle.StopSignal()
     sidecar = Sidecar(chosen)
     code = sidecar.run(stop)
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -1,4 +1,4 @@
-"""Serves the entries' links at a sidecar: one task a link, receiving and sending heartbeats."""
+"""Serves the links from entries at a sidecar; one task per link receives and sends heartbeats."""
 
 import collections.abc
 import hmac
@@ -17,7 +17,7 @@
 
 
 class SidecarLinks:
-    """Takes requests from entries and sends back their answers."""
+    """Receives requests from entries and sends answers and heartbeats back."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
 
     @property
     def is_linked(self) -> bool:
-        """Whether any entry is connected, which then also sends what changed."""
+        """Whether any entry is connected, which then also sends configuration changes."""
         return bool(self._open_links)
 
     @property
     def has_awaited_answers(self) -> bool:
-        """Whether an entry whose link broke may still come for an answer."""
+        """Whether an entry whose link broke may still reconnect to ask for an answer."""
         return self._lost_answers.is_any_awaited(clock.read_now())
 
     def serve(self, opened: link.Link) -> None:
@@ -65,7 +65,7 @@
             served.cancel_all()
 
     def broadcast_heartbeat(self) -> None:
-        """Tell every entry at once how this sidecar is."""
+        """Send a heartbeat to every entry without waiting for its next interval."""
         with self._lock:
             links = list(self._open_links)
         for item in links:
@@ -73,11 +73,11 @@
 
     def say_goodbye(self) -> None:
         """
-        Tell every entry that what is not answered by now never ran here.
+        Tell every entry that requests without an answer did not run here.
 
-        To be called once nothing runs and nothing new can start. A request may still be on its way
-        here, from an entry that was paused, say; without this it could not be told from one that
-        ran, and one that may not be repeated would end as unknown.
+        Call it when nothing runs and nothing new can start. A request may still be on its way,
+        for instance from an entry that was paused. Without the goodbye the entry could not tell
+        whether it ran, and a request that must not be repeated would end with outcome unknown.
         """
         with self._lock:
             links = list(self._open_links)
@@ -85,7 +85,7 @@
             item.send(messages.Goodbye())
 
     def stop(self) -> None:
-        """Close every link; what was sent still arrives."""
+        """Abort every link; messages that were already sent still arrive."""
         self._stopping.set()
         with self._lock:
             links = list(self._open_links)
@@ -136,7 +136,7 @@
 
 
 class _ServedLink:
-    """The requests that came over one link."""
+    """The requests received over one link."""
 
     def __init__(
         self,
@@ -153,7 +153,7 @@
         self._work_ids: dict[str, str] = {}
 
     def run(self, run: messages.Run) -> None:
-        """Run a request, or answer at once why not."""
+        """Submit a request to the executor, or refuse it immediately."""
         with self._lock:
             is_full = len(self._work_ids) >= _MAX_RUNS_PER_LINK
         if is_full:
@@ -164,23 +164,23 @@
             self._run_once(run)
 
     def join(self, join: messages.Join) -> None:
-        """Answer what became of a key, now or when it ends."""
+        """Answer with a key's outcome, immediately or when its request ends."""
         self._lost_answers.forget(join.customer, join.key)
         self._key_ledger.join(join, lambda answer: self._answer_once(join, answer))
 
     def find(self, find: messages.Find) -> None:
-        """Answer at once what is known of a key."""
+        """Answer immediately with what is known of a key."""
         self._answer(find.request_id, self._key_ledger.find(find))
 
     def cancel(self, request_id: str) -> None:
-        """Stop a request that nobody waits for."""
+        """Cancel a request whose answer is no longer wanted."""
         with self._lock:
             work_id = self._work_ids.get(request_id)
         if work_id is not None:
             self._executor.cancel(work_id)
 
     def cancel_all(self) -> None:
-        """Stop what can be stopped of a closed link's requests; nobody can get the answers."""
+        """Cancel what can be cancelled of a closed link's requests; answers can't be sent."""
         with self._lock:
             work_ids = list(self._work_ids.values())
         for work_id in work_ids:
@@ -188,10 +188,10 @@
 
     def _refuse_full(self, run: messages.Run) -> None:
         """
-        Refuse a request, and seal its key if it may not be repeated.
+        Refuse a request; if it must not be repeated, also seal its key.
 
-        The same ticket may come over another link that has room; without the seal it would start
-        there after this entry has had it run elsewhere.
+        The same ticket may arrive over another link that has capacity. Without the seal it would
+        start there after this entry has sent the request elsewhere.
         """
         refusal = _refuse("too-many-requests-on-link")
         if run.repeatable:
--- a/programs/oleanderdeal/oleanderdeal/snapshots.py
+++ b/programs/oleanderdeal/oleanderdeal/snapshots.py
@@ -1,9 +1,9 @@
 """
-Appends a snapshot now and then, so that what is in force outlives the log's retention.
+Appends snapshots of the configuration to its stream, so that it outlives the log's retention.
 
-The log deletes old records. Once it has deleted the one that put a contract in force, a process
-that starts afterwards could never learn of it. A snapshot holds everything in force; the fold is
-deterministic, so several processes that write one at a time do no harm.
+The log deletes old records. After it has deleted the record of a contract, a process that starts
+later could not learn of that contract. A snapshot holds the whole configuration. All processes
+compute the same configuration from the same records, so concurrent snapshots are harmless.
 """
 
 import random
@@ -21,10 +21,10 @@
 
 class SnapshotWriter:
     """
-    Writes a snapshot after so many records or so much time since the last one.
+    Writes a snapshot after a number of records or an interval since the last one.
 
-    The time only says when to write. Entries wait a random while longer, so that most see
-    another's snapshot first and start waiting anew.
+    The interval only schedules the write; it has no meaning to readers. Each entry adds a random
+    delay, so that most of them see another entry's snapshot first and restart their interval.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._next_write_due = self._create_deadline()
 
     def write(self) -> None:
-        """Look for a reason to write until the group stops."""
+        """Write snapshots when they are due until the group stops."""
         while self._group.pause(_CHECK_SECONDS):
             self._update_seen_snapshot()
             if self._is_due():
