--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -205,7 +205,7 @@
         tenure = self._find_tenure()
         if tenure is None:
             return False
-        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_token)
+        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_number)
         deadline = tenure.deadline.earlier(_CALL_TIMEOUT_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
@@ -213,7 +213,7 @@
             window=report.window,
             organisations=len(report.counts),
             requests=sum(report.counts.values()),
-            fencing=tenure.fencing_token,
+            fencing=tenure.fencing_number,
             tenure_left_ms=tenure.deadline.remaining_ms,
         ).info(str(outcome))
         metrics.count(metrics.USAGE_REPORTS)
