--- a/features/bursts.feature
+++ b/features/bursts.feature
@@ -1,12 +1,12 @@
-Feature: An organisation that asks for many times its usual does not starve the others
-  An entry has 24 places; a request holds one while it runs, others wait in turn for 0.8 s at most.
+Feature: A burst of one organisation does not starve the others
+  An entry has 24 slots. A request uses one while it runs; others wait in order of arrival, for at most 0.8 s.
 
-  Scenario Outline: The others are served as if it were not there
+  Scenario Outline: The other organisations are served as without the burst
     # Guards against callers of all organisations timing out behind the burst of one.
-    Given an entry with 24 places whose requests take <ms> ms
-    When <count> organisations ask 5 times a second and one of them <times> times as often
-    Then each of the others is served at least <percent> percent of what it is without that one
-    And without shares some of them are served less than <percent> percent of it
+    Given an entry with 24 slots whose requests take <ms> ms
+    When <count> organisations send 5 requests a second and one of them <times> times as many
+    Then each of the others gets at least <percent> percent of the answers that it gets without that one
+    And without a fair share some of them get less than <percent> percent of these
 
     Examples:
       | ms  | count | times | percent |
@@ -15,9 +15,9 @@
       | 200 | 16    | 50    | 95      |
       | 60  | 41    | 100   | 95      |
 
-  Scenario Outline: A place is denied only while places are short
-    # Guards against places that stay empty because of the shares.
-    Given an entry with 24 places
+  Scenario Outline: A slot is refused only while few slots are free
+    # Guards against slots that stay unused because of the fair shares.
+    Given an entry with 24 slots
     When the organisations hold <held> of them and <other> have called <seconds> s ago
     Then one more request of red is <verdict>
 
--- a/features/claims.feature
+++ b/features/claims.feature
@@ -1,8 +1,9 @@
-Feature: The order of records in the log decides who may run a key
+Feature: Claims of keys are decided by the order of their records in the log
+  A record a1 is sidecar a's claim of the first attempt of the key, x1 a claim of another key.
 
-  Scenario Outline: The first record of an attempt is in force, whoever reads it
-    # Two entries claim a key at once, or one comes late. Every process folds the same records
-    # in the same order, so all agree on the one sidecar that may run the key.
+  Scenario Outline: The first record of the newest attempt is in force in every process
+    # Two entries may claim a key at once, or one late. Every process applies the same records in
+    # the same order, so all agree on the one sidecar that may run the key.
     Given a table of claims with a window of 10 records
     When the claims table reads <records>
     Then the claims table has <in force> in force
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -1,10 +1,10 @@
-Feature: A request that ends the servers that run it
-  Three programs on the platform's stand-in, and servers that end when they run a fatal request.
+Feature: Quarantine of requests that crash servers, in a whole deployment
+  Three programs run on the platform's stand-in, with servers that end when they run a fatal request.
 
-  Scenario Outline: A request that ends its servers is soon kept from them
-    # Guards against one request that ends every server there is, each time that it comes.
+  Scenario Outline: A request that crashes servers is soon quarantined
+    # Guards against one request that crashes every server each time it is sent.
     Given three programs and 4 services that end when they run a fatal request
-    When the fatal <kind> request comes at all programs in turn for 8 seconds, with new ids
+    When the fatal <kind> request is sent to all programs in turn for 8 seconds, with new ids
     Then at most 3 servers run it later than 3 seconds after it ended the third
     And a sound <kind> request is answered 200
 
@@ -13,8 +13,8 @@
       | calls    |
       | charges  |
 
-  Scenario Outline: An item that ends its servers is soon kept from them
-    # Guards against one item that ends every server, again and again, while its batch is open.
+  Scenario Outline: A batch item that crashes servers is soon quarantined
+    # Guards against one item that crashes every server repeatedly while its batch is open.
     Given three programs and 4 <servers> that end when they run a fatal request
     When a batch of 12 items is submitted of which one has a fatal <part>
     Then within 10 seconds the other 11 items are completed
--- a/features/crashing_versions.feature
+++ b/features/crashing_versions.feature
@@ -1,11 +1,11 @@
-Feature: Weights that end the servers that load them
-  Simulated time. Half of the servers are ordered by each of two processes, which hear of crashes from each other; a
-  load takes 0.9 s, and a server that ended is back 3 s later under another incarnation, with its first weights.
+Feature: Quarantine of weight versions that crash the servers loading them
+  Time is simulated. Each of two processes orders half of the servers, and they inform each other of crashes. A load
+  takes 0.9 s. A server that ended restarts 3 s later as a new incarnation, with its first weights.
 
-  Scenario Outline: A version that ends its servers is soon kept from them
-    # Guards against weights that end every server of a fleet, again after each restart.
+  Scenario Outline: A version that crashes servers is soon quarantined
+    # Guards against weights that crash every server of a fleet, again after each restart.
     Given <servers> servers that two processes order
-    When version 2, which ends a server <seconds> s into a load, is named for <length> s
+    When version 2, which ends a server <seconds> s into a load, is the target for <length> s
     Then at most 3 servers were ordered to load it later than 3 s after it ended the third
     And never more than <most> servers ended within 4 s, but at first
 
@@ -16,11 +16,11 @@
       | 4       | 0.8     | 34     | 1    |
       | 12      | 0.2     | 34     | 1    |
 
-  Scenario Outline: A version that servers can load again, or the next one, reaches them all
-    # Guards against a fleet that stays behind for ever after weights that ended some of its servers.
+  Scenario Outline: After a quarantine, a version that loads again, or the next one, reaches all servers
+    # Guards against a fleet that stays behind for ever after weights crashed some of its servers.
     Given 4 servers that two processes order
-    When version 2, which ends a server 0.2 s into a load, is named for <before> s
-    And version <next>, which ends no server, is named for <after> s
+    When version 2, which ends a server 0.2 s into a load, is the target for <before> s
+    And version <next>, which ends no server, is the target for <after> s
     Then every server runs version <next>
 
     Examples:
@@ -29,16 +29,16 @@
       | 10     | 2    | 30    |
       | 10     | 3    | 8     |
 
-  Scenario: Servers that are lost while they load a version that others run get it when they are back
-    # Guards against a version that is kept back because hosts were lost while their servers loaded it.
+  Scenario: A version that some servers run is not quarantined for servers lost while loading it
+    # Guards against a version that is quarantined because hosts were lost while their servers loaded it.
     Given 4 servers that two processes order, of which 1 runs version 2
-    When version 2, which ends no server, is named for 0.5 s
+    When version 2, which ends no server, is the target for 0.5 s
     And the other servers are lost
-    And version 2, which ends no server, is named for 8 s
+    And version 2, which ends no server, is the target for 8 s
     Then every server runs version 2
 
-  Scenario Outline: Losses that say nothing of a version don't count against it
-    # Guards against a sound version that is kept back because servers ended for other reasons.
+  Scenario Outline: Losses that a load can't have caused don't count against its version
+    # Guards against a sound version that is quarantined because servers ended for other reasons.
     Given 4 servers that two processes order
     When each server was ordered to load version 2 and <end>
     Then version 2 is <state>
--- a/features/direct_calls.feature
+++ b/features/direct_calls.feature
@@ -1,14 +1,15 @@
-Feature: A caller's request at backend servers without sidecars
-  Servers are named s1, s2, s3. Each does what is said of it for all requests: ok answers after 10 ms,
-  full refuses, other is another server, fails answers 500, lost runs and loses the answer, refuses
-  does not let connect, slow answers after 300 ms, silent never answers.
+Feature: Calls to backend servers without sidecars
+  Servers are named s1, s2, s3. Each behaves as stated for all requests: ok answers after 10 ms, full
+  refuses the request, other has been replaced by another server, fails answers 500, lost runs the
+  request and loses the answer, refuses accepts no connection, slow answers after 300 ms, silent never
+  answers.
 
-  Scenario Outline: The caller gets the answer that its request allows
-    # Servers refuse, fail, or lose the answer after they ran the request. A request that may be
-    # repeated goes to the next server; one that may not goes on only where the last has not run it,
-    # and only then its caller may be told that it has not run.
+  Scenario Outline: A request is sent to another server only if it may be repeated or was not run
+    # Servers refuse, fail, or lose the answer after running the request. A request that may be
+    # repeated goes to the next server. One that may not goes on only if the last server has not run
+    # it; only then may its caller be told that it was not run.
     Given the servers <servers>
-    When a <kind> request that <most> servers may get is called
+    When a <kind> request is called that may be sent to <most> servers
     Then the caller gets <outcome>
     And at most <runs> servers ran it
 
@@ -29,16 +30,17 @@
       | s1=silent                | once       | 2    | unresolved | 1    |
       | s1=full s2=full s3=full  | idempotent | 2    | refused    | 0    |
 
-  Scenario: A slow server costs its callers little
-    # One server of three takes 300 ms where the others take 10. A second one is asked before
-    # the objective has passed; without that every third caller would wait for the slow one.
+  Scenario: A slow server is hedged
+    # One server of three takes 300 ms, the others 10 ms. A second server is asked before the target
+    # latency has passed; without that, every third caller would wait for the slow one.
     Given the servers s1=slow s2=ok s3=ok
-    When 30 idempotent requests that 2 servers may get are called
+    When 30 idempotent requests are called that may each be sent to 2 servers
     Then each took less than 250 ms
 
-  Scenario Outline: "No route" is said only by an entry that knows the newest configuration
-    # An entry that is cut off, or has just started, does not know a route that was published since.
-    # Told that there is none, a caller gives up; told to come back, it asks another entry.
+  Scenario Outline: Only an entry that knows the newest configuration answers "no route"
+    # An entry that is disconnected or has just started may not know a recently published route.
+    # A caller that is told that there is no route gives up; one that is told to retry asks another
+    # entry.
     Given an entry that has <configuration> and <heard> the platform
     When a caller asks for the path <path>
     Then the lookup says <answer>
@@ -51,7 +53,7 @@
       | a configuration    | hears             | /other/a | missing |
       | a configuration    | has not heard     | /other/a | unsure  |
 
-  Scenario: A request whose caller has left is ended
+  Scenario: A request is cancelled when its caller disconnects
     Given the servers s1=silent
-    When a request is called whose caller leaves after 100 ms
-    Then the call ends within 1000 ms and its server is told
+    When a request is called whose caller disconnects after 100 ms
+    Then the call ends within 1000 ms and its server is told that it is cancelled
--- a/features/order_crowd.feature
+++ b/features/order_crowd.feature
@@ -1,15 +1,15 @@
 Feature: Servers load new weights a few at a time, however long a load takes
-  Simulated time. Each of 4 or 12 servers is ordered by a process of its own; a load takes a number of seconds, and longer
-  while more than a third of the servers load. A server that loads takes no new work.
+  Time is simulated. Each of 4 or 12 servers is ordered by a process of its own. A load takes the given time, and longer
+  while more than a third of the servers load. A server that is loading accepts no new requests.
 
   Scenario Outline: Loads that are slower than expected don't pile up
-    # A version is named every few seconds. With turns of a fixed length the second turn begins while
-    # the first still loads, then the next version comes: all servers load at once, and the trainer's
-    # next step finds nobody to begin with it.
+    # A version is published every few seconds. With waves of a fixed length, the second wave starts
+    # while the first still loads, and then the next version is published: all servers load at once,
+    # and no server is free to start the trainer's next step.
     Given <servers> servers, each ordered by its own process, whose loads take <seconds> s
-    When <versions> versions are named, one every <every> s
+    When <versions> versions are published, one every <every> s
     Then never more than <most> servers load at once
-    And after the last every server has it within <within> s
+    And after the last is published, every server has it within <within> s
 
     Examples:
       | servers | seconds | versions | every | most | within |
@@ -20,11 +20,11 @@
       | 12      | 0.9     | 6        | 4     | 5    | 10     |
       | 12      | 2.8     | 4        | 8     | 5    | 12     |
 
-  Scenario Outline: Servers are asked only where loads don't end within their turn
-    # Each question may open a connection to a server, and each process asks many: in a fleet of 23
-    # servers the questions cost more than what they guard against where loads are short.
+  Scenario Outline: Servers are asked whether they are loading only if loads exceed a wave
+    # Each question may open a connection to a server, and each process asks many servers: in a fleet
+    # of 23 servers with short loads, the questions cost more than what they guard against.
     Given <servers> servers, each ordered by its own process, whose loads take <seconds> s
-    When 6 versions are named, one every 6 s
+    When 6 versions are published, one every 6 s
     Then the processes asked other servers at most <most> times
 
     Examples:
@@ -32,9 +32,9 @@
       | 4       | 0.9     | 12   |
       | 12      | 0.9     | 132  |
 
-  Scenario: Servers that say for ever that they load don't keep the others from new weights
-    # Two of four hang in a load. The others wait for them a while, then load all the same.
+  Scenario: Servers that never finish loading don't keep the others from new weights
+    # Two of four servers hang in a load. The others wait for them for a while and then load anyway.
     Given 4 servers, each ordered by its own process, whose loads take 0.9 s
-    When 2 of them load for ever
-    And 1 versions are named, one every 4 s
-    Then after the last every other server has it within 14 s
+    When 2 of them never finish loading
+    And 1 versions are published, one every 4 s
+    Then after the last is published, every other server has it within 14 s
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -1,18 +1,19 @@
-Feature: One holder at a time orders backend servers
-  Time is simulated. Holders are named by letters; the gap between two of them is 3 s.
-  A script is read word by word: a+ lets a try, a? checks that a may order, a! that it may not, 2s waits,
-  a.restart starts a's process anew on its host, a.down cuts a off from the log, a.up joins it again, a.release gives the right up, a.lost lets
-  a's next append take effect without an answer, a.late lets it take effect at `late`.
-
-  Scenario Outline: Orders of two holders never come within the gap
-    # A server would get orders from two holders in turn, or an older one after a newer, and load
-    # weights back and forth. It happens when a holder is suspended, cut off or replaced while it
-    # believes in its right, or when its append takes effect after it gave up on the answer.
-    # Here every order that anyone may give is noted; each must be far enough from the others'.
+Feature: Leases to order backend servers, and the planning of orders
+  Time is simulated. Lease holders are named by letters; the gap between two of them is 3 s.
+  The words of a script are: a+ lets a acquire or renew the lease, a? checks that a may order, a! that it may not,
+  2s waits, a.restart restarts a's process on its host, a.down disconnects a from the log, a.up reconnects it,
+  a.release releases the lease, a.lost lets a's next append take effect without an answer, a.late lets it take effect
+  at the word late.
+
+  Scenario Outline: Orders of two holders are always further apart than the gap
+    # Otherwise a server would get orders from two holders alternately, or an older one after a newer
+    # one, and load weights back and forth. That can happen if a holder is suspended, disconnected or
+    # replaced while it believes that it holds the lease, or if its append takes effect after it gave
+    # up waiting for the answer. The test records every moment at which each holder could order.
     Given the order holders a b c
     When the holders do <script>
     Then no two holders could order within the gap
-    And fencing numbers only grew with the holders
+    And each holder has a higher fencing token than the one before
 
     Examples:
       | script |
@@ -30,19 +31,19 @@
       | a+ a? a.restart b+ b! 9s b+ b? a+ a! |
       | a+ a? b+ 7s b+ b? a.restart a+ a! b+ b? |
 
-  Scenario: A new process does not order until it has read that nobody holds the right
-    # All processes restart at once. The log names a holder that may live; only its silence for
-    # a whole term and the gap, seen by the new process itself, says that it does not.
+  Scenario: A new process does not order until it knows from the log that the lease is free
+    # All processes restart at once, and the log names a holder that may still be alive. The lease is
+    # free only after the new process itself has read no record of the holder for the term and the gap.
     Given the order holders a b
     When the holders do a+ a? b.down b+ b! 9s b+ b! b.up b+ b! 2s b+ b! 4s b+ b?
     Then no two holders could order within the gap
 
-  Scenario Outline: Servers are ordered in turns, and once
-    # Weights load for a second, in which a server takes no new work for that model. Ordering all
-    # at once would leave nobody to serve it; ordering again what is on its way costs another load.
-    # Several processes have rights to some servers each and must come to the same waves.
-    Given the engines <engines> and the named versions <named>
-    When orders are planned <times> times, <seconds> s after they were named, for <rights>
+  Scenario Outline: Servers are ordered in waves, and each only once
+    # Weights load for a second, in which a server accepts no new requests for that model. Orders to all
+    # servers at once would leave none to serve it, and repeating an order that is in flight costs another
+    # load. Several processes hold the leases of some servers each and must compute the same waves.
+    Given the engines <engines> and the target versions <named>
+    When orders are planned <times> times, <seconds> s after they were published, for <rights>
     Then the planned orders are <count> to <among>
 
     Examples:
@@ -59,9 +60,9 @@
       | s1=1                          | m=2   | 1     | 9       | none   | 0     | none        |
 
   Scenario Outline: No model waits for ever behind the others
-    # Versions of several models come about as fast as one server loads them. Taken in a fixed order
-    # the last model would stay behind, and its trainer would have no server that is new enough.
-    Given an engine with the models <has> and the named models <named>
+    # Versions of several models are published about as fast as one server loads them. In a fixed order
+    # the last model would stay behind, and its trainer would have no server with recent enough weights.
+    Given an engine with the models <has> and the target versions <named>
     Then it is ordered to load <model> first
 
     Examples:
@@ -70,14 +71,14 @@
       | a=4 b=4 c=3 | a=5@1 b=5@2 c=5@9 | c     |
       | a=4 b=4 c=4 | a=5@1 b=5@2 c=4@0 | a     |
 
-  Scenario Outline: Where loads can't keep up, each server leaves out every second version
-    # The weight store slows down when more than a few load. All servers then lag by two versions,
-    # and each step waits for one that is new enough. Half of them stay usable if they take turns;
-    # they may not where a trainer's steps allow the newest version only.
+  Scenario Outline: If loads can't keep up, each server skips every second version
+    # The weight store slows down when more than a few servers load at once. All servers would then lag
+    # by two versions, and each step would wait for one with recent enough weights. Half of the servers
+    # stay usable if they skip versions alternately, unless the trainer accepts the newest version only.
     Given 4 engines and 3 models whose versions come every <seconds> s and steps allow <lag> behind
-    When 8 versions of each model were named and loaded
+    When 8 versions of each model were published and loaded
     Then each server loaded <loads> of them
-    And whenever a version was named, <usable> servers or more could go on at once
+    And whenever a version was published, at least <usable> servers could serve the trainer
 
     Examples:
       | seconds | lag | loads | usable |
@@ -85,13 +86,13 @@
       | 3       | 1   | 4 5   | 2      |
       | 3       | 0   | 8 8   | 0      |
 
-  Scenario Outline: Where loads can't keep up, servers are shared out among the models
-    # Each server stands still while it loads, for each model in turn. Servers that load for all
-    # trainers spend a third of their time on it, also where each leaves out every second version.
-    # One that is lost must not make half of the others change theirs: they would all load at once.
+  Scenario Outline: If loads can't keep up, the models are distributed over the servers
+    # A server serves no requests while it loads, for each of its models. Servers that load for all
+    # trainers spend a third of their time on it, even if each skips every second version. The loss of
+    # one server must not make half of the others change their models: they would all load at once.
     Given <servers> servers that <models> models share
-    Then each model has <least> to <most> servers, and each server <room> models at most
-    And of those that stay, <moved> at most change a model when one server is lost
+    Then each model has <least> to <most> servers, and each server has at most <room> models
+    And when one server is lost, the others take over at most <moved> models in all
 
     Examples:
       | servers | models | least | most | room | moved |
@@ -104,10 +105,10 @@
       | 2       | 3      | 2     | 2    | 3    | 0     |
       | 1       | 9      | 1     | 1    | 9    | 0     |
 
-  Scenario Outline: Weights that ended servers are tried on one of those that are to load them
-    # Guards against a trial left to a server that skips the version or is not of the model, so that none ever loads it.
+  Scenario Outline: Weights that crashed servers are tried on one server that is due to load them
+    # Guards against a trial on a server that skips the version or does not have the model, so that it is never loaded.
     Given <servers> engines and 3 models whose versions come every <every> s and steps allow <lag> behind
-    When 8 versions of each model were named and loaded
+    When 8 versions of each model were published and loaded
     Then each of 6 further versions of model a that ended servers is ordered to one server
 
     Examples:
@@ -118,11 +119,11 @@
       | 23      | 4     | 1   |
       | 23      | 4     | 0   |
 
-  Scenario Outline: Whether loads keep up is known from the first one on
-    # Loads take longer here than elsewhere. Until that is believed, servers are ordered to load every
-    # version, half of them load at any time, and the steps of that time wait for places.
+  Scenario Outline: The first load is enough to tell whether loads keep up
+    # If loads take longer than the default, every server is ordered to load every version until that
+    # is known. Then half of the servers are loading at any time, and training steps wait for slots.
     Given versions of a model that come every 4 s
-    When <loads> loads of <seconds> s each were seen
+    When <loads> loads of <seconds> s each were observed
     Then 4 servers of which 2 load at once <keep up>
 
     Examples:
@@ -132,18 +133,18 @@
       | 1     | 2.8     | can't keep up |
       | 5     | 2.8     | can't keep up |
 
-  Scenario: What a server says of itself goes before the list
-    # The list tells a heartbeat late. Until then the server would count as loading, and its next
-    # order would wait a second longer than it must.
-    Given the engines s1=1 and the named versions m=2
-    When orders are planned 1 times, 0 s after they were named, for all
-    And s1 says that it has version 2 of m
-    And the engines are named version 3
+  Scenario: A server's own report takes precedence over the server list
+    # The list shows a load a heartbeat late. Until then the server would count as loading, and its
+    # next order would wait a second longer than necessary.
+    Given the engines s1=1 and the target versions m=2
+    When orders are planned 1 times, 0 s after they were published, for all
+    And s1 reports that it has version 2 of m
+    And version 3 is published
     Then the planned orders are 2 to s1
 
-  Scenario Outline: An order states what the server has accepted
-    # An order without an answer may be carried out late, after newer ones. It names how many the
-    # server had accepted, so it fails then; the next one must count what was taken meanwhile.
+  Scenario Outline: An order states how many orders the server has accepted before
+    # An order that was not answered may arrive late, after newer ones. Since it states the number of
+    # orders that the server had accepted, it then fails. The next order must count those accepted since.
     Given an engine that reports 4 accepted orders
     When an order to it ends as <outcome>
     Then the next order to it states <accepted> accepted orders
@@ -155,13 +156,13 @@
       | refused | 4        |
       | unknown | 4        |
 
-  Scenario Outline: Where loads take long, fewer models share a server
-    # Guards against servers that lag behind all their models while steps wait for one that is new enough.
+  Scenario Outline: If loads take long, fewer models share a server
+    # Guards against servers that lag behind with all their models while steps wait for recent enough weights.
     Given 19 engines and 3 models whose versions come every 4 s
-    When loads are seen to take <load> s
-    Then <each> models share a server at most
-    When loads are seen to take <then> s
-    Then <after> models share a server at most
+    When loads are observed to take <load> s
+    Then at most <each> models share a server
+    When loads are observed to take <then> s
+    Then at most <after> models share a server
 
     Examples:
       | load | each | then | after |
--- a/features/organisations.feature
+++ b/features/organisations.feature
@@ -1,8 +1,9 @@
 Feature: Organisations and the keys of their clients
   Organisation red holds the keys r1 and r2 and has priority 0, blue holds b1 and has none.
 
-  Scenario Outline: A key tells who calls, and only what is certain is denied
-    # Guards against runs for nobody, and against a holder of a new key told that there is none.
+  Scenario Outline: A key identifies the caller, and is rejected only if it is certainly unknown
+    # Guards against requests run without an organisation, and against the rejection of a key that was
+    # just added.
     Given the organisations are <configured> and the newest configuration is <age>
     When a call comes with the header <header> for a <kind> route
     Then the caller is <caller>
@@ -28,8 +29,8 @@
       | without    | known        | Bearer r1  | private | anybody          |
       | without    | maybe newer  | none       | private | anybody          |
 
-  Scenario Outline: "Unknown key" is said only by an entry that knows the newest configuration
-    # Guards against a 401, which is never retried, for a key that another entry knows already.
+  Scenario Outline: Only an entry that knows the newest configuration answers "unknown key"
+    # Guards against a 401, which is never retried, for a key that another entry already knows.
     Given an entry that read <configuration> and last heard the operator's records <seconds> s ago
     When a caller presents <key>
     Then its lookup says <answer>
@@ -43,7 +44,7 @@
       | a configuration    | 2.0     | x   | denied |
       | a configuration    | 2.6     | x   | unsure |
 
-  Scenario Outline: A lookup costs the same however many keys there are
+  Scenario Outline: The cost of a key lookup does not grow with the number of keys
     # Guards against a search through all organisations for each request.
     Given <count> organisations of two keys each
     Then a key is found by comparing it with at most 2 others
@@ -53,8 +54,8 @@
       | 77    |
       | 10000 |
 
-  Scenario Outline: Texts of one organisation are never another's
-    # Guards against a sample handed to whoever names another organisation's item.
+  Scenario Outline: Kept texts are never given to another organisation
+    # Guards against a sample given to a caller that names the item of another organisation.
     Given a text of item i of model m that was kept for red
     Then <organisation> finds <found> for item i
 
@@ -63,12 +64,12 @@
       | red          | a text  |
       | blue         | nothing |
 
-  Scenario: An accepted batch names its organisation, and one of an earlier release has none
-    # Guards against batches that nobody can read after an upgrade.
+  Scenario: Batch records state their organisation, and those of an earlier release have none
+    # Guards against batch records that can't be decoded after an upgrade.
     Then records of both kinds are read, with red and with no organisation
 
-  Scenario: The whole path with keys
-    # Guards against keys that reach servers, and names of organisations that clients made up.
+  Scenario: Calls and batches through the front program with and without keys
+    # Guards against keys that reach servers, and against organisation names invented by clients.
     Given the platform's stand-in with the organisations red and blue, and the front program
     Then a call with key r1 is run for red, without the key and whatever name the client sent
     And a call with an unknown key is answered 401 and runs nowhere
@@ -77,8 +78,8 @@
     And a batch of red is read, asked for bodies and ended with key r2, and is unknown with key b1
     And a name that red's batch has is not accepted from blue
 
-  Scenario Outline: Keys come, go and move while clients are connected
-    # Guards against a revoked key that works on, and a new or moved key that is not known.
+  Scenario Outline: Keys are added, revoked and moved while clients are connected
+    # Guards against a revoked key that is still accepted, and a new or moved key that is unknown.
     Given the platform's stand-in with the organisations red and blue, and the front program
     When <trouble> while the operator takes r1 away, adds r3 and gives r2 to blue
     Then within 3 s a call with key r1 is answered 401, with r3 run for red and with r2 for blue
@@ -93,8 +94,8 @@
       | the program is suspended for 2.0 s     |
       | another configuration follows at once  |
 
-  Scenario Outline: While the store is away, no key is denied that may be new
-    # Guards against a 401, which is never retried, from an entry that was cut off from the store.
+  Scenario Outline: During an outage of the store, no key that may be new is rejected
+    # Guards against a 401, which is never retried, from an entry that can't reach the store.
     Given the platform's stand-in with the organisations red and blue, and the front program
     When the store <is away> for 4 s
     Then a call with key r1 is run for red, without the key and whatever name the client sent
@@ -106,7 +107,7 @@
       | is silent |
 
   Scenario: Keys stay out of the logs
-    # Guards against secrets in logs, where many may read them.
+    # Guards against secrets in logs, which many people may read.
     Given the platform's stand-in with the organisations red and blue, and the front program
     Then a call with key r1 is run for red, without the key and whatever name the client sent
     And a call with an unknown key is answered 401 and runs nowhere
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,10 +1,11 @@
-Feature: Requests under which servers ended are kept from servers
-  Servers are A to F; a crash marked "shared" came while the process had other requests there.
+Feature: Quarantine of requests that were running when servers crashed
+  Servers are A to F. At a crash marked "shared", the process had other requests running at the server.
 
-  Scenario Outline: A request is kept back once it recurs in crashes of several servers
-    # Guards against a request that ends all servers, and against one kept back for its neighbours' sake.
+  Scenario Outline: A request is quarantined after it was running in crashes of several servers
+    # Guards against a request that crashes all servers, and against the quarantine of requests that
+    # only ran beside it.
     Given the crashes <crashes> of a request
-    Then the ledger calls it <state>
+    Then the ledger reports it as <state>
 
     Examples:
       | crashes                                | state            |
@@ -27,12 +28,13 @@
       | A, B, answered                         | free             |
       | A, answered, B, C                      | free             |
 
-  Scenario Outline: A quarantine ends with a trial, and each further crash doubles it
-    # Guards against a request that is kept back for ever, and against one that ends servers every minute.
+  Scenario Outline: After its quarantine a request may run again, and each further crash doubles the next one
+    # Guards against a request that is quarantined for ever, and against one that crashes a server
+    # every minute.
     Given the crashes A, B of a request
-    When <first> s pass, then server C ends under it
+    When <first> s pass, then server C ends while running it
     And <second> s pass
-    Then the ledger calls it <state>
+    Then the ledger reports it as <state>
 
     Examples:
       | first | second | state            |
@@ -43,10 +45,10 @@
       | 61    | 361    | forgotten        |
       | 181   | 0      | suspect          |
 
-  Scenario Outline: What a batch waits for is tried again soon
-    # Guards against a step that is lost for an item which shared its engines with the cause.
+  Scenario Outline: Items that a batch waits for are tried again soon
+    # Guards against a training step that is lost because an item shared its engines with the cause.
     Given the crashes <crashes> of a request
-    Then as part of a batch it is kept for <seconds> s
+    Then as part of a batch it is quarantined for <seconds> s
 
     Examples:
       | crashes                                | seconds |
@@ -55,10 +57,10 @@
       | A shared, B shared, C shared, D        | 8       |
       | A, B, C, D                             | 16      |
 
-  Scenario Outline: What a request is, whatever its ids
-    # Guards against a return under a new id that passes for another request, and the reverse.
+  Scenario Outline: A request is identified by its content, not by its id
+    # Guards against a repeated request with a new id that passes for another one, and the reverse.
     Given a request whose <part> differs from another's
-    Then the two are <same>
+    Then the two requests count as <same>
 
     Examples:
       | part         | same    |
@@ -71,10 +73,10 @@
       | body         | two     |
       | surrogate    | two     |
 
-  Scenario Outline: Which ends of servers count against a request
+  Scenario Outline: Only unplanned ends of servers count as crashes of a request
     # Guards against crashes counted for planned ends, lost answers and requests that never arrived.
     Given an entry with the servers <servers>
-    When a request is called that <attempts> servers may get
+    When a request is called that may be sent to <attempts> servers
     Then <sent> servers got it, the caller gets <outcome>, and the entry published <crashes> crashes
 
     Examples:
@@ -87,10 +89,10 @@
       | A=ends-unlisted B=ends-unlisted  | 2        | 2    | unresolved | 0       |
       | A=fails B=fails                  | 2        | 2    | answered   | 0       |
 
-  Scenario Outline: A server that is lost without a word ended under what it did not answer
-    # Guards against a request whose servers fall silent, or start again too soon to be found gone.
+  Scenario Outline: The unannounced loss of a server is a crash of the requests that it did not answer
+    # Guards against a missed crash when a server stops answering, or restarts before it is found gone.
     Given an entry with the servers A=<behaves>
-    When a request is called that 1 servers may get
+    When a request is called that may be sent to 1 servers
     And <seconds> s later server A <changes>
     Then the entry published <crashes> crashes
 
@@ -108,19 +110,19 @@
       | ok      | 0       | is gone from the list          | 0       |
       | ends    | 0       | is gone from the list          | 1       |
 
-  Scenario: A server that left the list in an outage and came back did not end
-    # Guards against crashes counted for servers whose registration lapsed with the platform away.
+  Scenario: A server that is missing from the list only during an outage has not crashed
+    # Guards against crashes counted for servers whose registration expired in an outage of the platform.
     Given an entry with the servers A=lost
     When 0 s later server A is gone from the list
     And server A is listed again
-    And a request is called that 1 servers may get
+    And a request is called that may be sent to 1 servers
     Then the entry published 0 crashes
 
-  Scenario Outline: Which answers clear a request under which servers ended
-    # Guards against a cause that is set free because a server gave it up, or turned it away.
+  Scenario Outline: Only an answer of a server that ran the request clears its crashes
+    # Guards against a cause that is cleared because a server gave it up or refused it.
     Given an entry with the servers A=<answer>
-    And a server ended under the request before
-    When a request is called that 1 servers may get
+    And in an earlier attempt of the request, a server ended
+    When a request is called that may be sent to 1 servers
     Then the entry <belief> it
 
     Examples:
@@ -133,19 +135,19 @@
       | other  | still suspects |
       | lost   | still suspects |
 
-  Scenario: A request that is kept back is rejected at once, as not run, with when to come back
-    # Guards against a caller that waits, or comes back at once, for what no server will run.
+  Scenario: A quarantined request is refused at once, as not run, with a retry time
+    # Guards against a caller that waits, or retries at once, while no server will run its request.
     Given an entry with the servers A=ends B=ends
-    When a request is called that 3 servers may get
-    And it comes again with a new id
-    Then it is rejected with a time of 55 to 60 s, and no server got it
+    When a request is called that may be sent to 3 servers
+    And it is called again with a new id
+    Then it is refused with a retry time of 55 to 60 s, and no server got it
     And a request with another body goes to servers
 
-  Scenario Outline: A request that a server ended under is not sent to two servers at once
-    # Guards against a hedge that ends a second server beside the first.
+  Scenario Outline: A request with a recorded crash is not hedged
+    # Guards against a hedge that crashes a second server together with the first.
     Given an entry with the servers A=slow B=slow
-    And <before> under the request before
-    When a request is called that 3 servers may get
+    And in an earlier attempt of the request, <before>
+    When a request is called that may be sent to 3 servers
     Then <sent> servers got it, the caller gets answered, and the entry published 0 crashes
 
     Examples:
@@ -154,11 +156,11 @@
       | a server ended                                    | 1    |
       | a server ended, and its answer is on its way back | 1    |
 
-  Scenario Outline: Crashes reach every entry, and a new one reads those of before
-    # Guards against a request that ends servers anew at each entry, and after each restart.
+  Scenario Outline: Crashes reach every entry, and a new entry reads the earlier ones
+    # Guards against a request that crashes servers again through each entry, and after each restart.
     Given two entries on one log that is <log>
-    When server A ends under a request at the first entry, and server B at the <other>
-    Then the request is kept back at <kept> within 2 s
+    When server A ends while running a request of the first entry, and server B of the <other>
+    Then the request is quarantined at <kept> within 2 s
 
     Examples:
       | log             | other  | kept                     |
@@ -169,14 +171,14 @@
       | away            | first  | the first                |
       | there           | first  | a third that starts then |
 
-  Scenario: Crashes that no longer count leave the log
-    # Guards against records of crashes that pile up for ever.
+  Scenario: Crashes that no longer count are removed from the log
+    # Guards against crash records that accumulate for ever.
     Given two entries on one log that is there
-    When server A ends under a request at the first entry, and server B answers it at the second
+    When server A ends while running a request of the first entry, and server B answers it at the second
     Then no entry suspects the request, and the log holds no crash
 
-  Scenario Outline: Records of another writer change nothing
-    # Guards against a foreign record that stops the reader, or keeps back a sound request.
+  Scenario Outline: Crash records that can't be decoded are ignored
+    # Guards against a foreign record that stops the reader or quarantines a sound request.
     Then a record of a crash with key <key> and value <value> changes nothing
 
     Examples:
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for places that organisations share; time is simulated."""
+"""Steps for the fair share of request slots among organisations; time is simulated."""
 
 import collections
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Entry:
-    """Threads that take requests in turn; a request that is refused holds none."""
+    """An entry's threads, which run requests in order of arrival; a refused one uses none."""
 
     def __init__(self, places, service_seconds, has_shares):
         self._free = places
@@ -58,7 +58,11 @@
             heapq.heappush(self._ending, (self._now + self._service_seconds, organisation))
 
     def find_worst(self, alone):
-        """Return the percentage that the worst-served of the others got of what it had alone."""
+        """
+        Return the lowest percentage of requests served, over all organisations but the burst's.
+
+        100 percent is what the organisation is served in `alone`, without the burst.
+        """
         others = [name for name in self.asked if name != _BURST]
         return min(100 * self.served[name] / alone.served[name] for name in others)
 
@@ -75,7 +79,7 @@
     return sorted(arrivals)
 
 
-@behave.given("an entry with {places:d} places whose requests take {milliseconds:d} ms")
+@behave.given("an entry with {places:d} slots whose requests take {milliseconds:d} ms")
 def create_entry(context, places, milliseconds):
     context.entries = {
         name: Entry(places, milliseconds / 1000, name != "without shares")
@@ -84,7 +88,7 @@
 
 
 @behave.when(
-    "{count:d} organisations ask 5 times a second and one of them {times:d} times as often"
+    "{count:d} organisations send 5 requests a second and one of them {times:d} times as many"
 )
 def play_burst(context, count, times):
     arrivals = _draw_arrivals(count, times)
@@ -94,20 +98,21 @@
 
 
 @behave.then(
-    "each of the others is served at least {percent:d} percent of what it is without that one"
+    "each of the others gets at least {percent:d} percent of the answers"
+    " that it gets without that one"
 )
 def check_others(context, percent):
     worst = context.entries["shares"].find_worst(context.entries["alone"])
     assert worst >= percent, worst
 
 
-@behave.then("without shares some of them are served less than {percent:d} percent of it")
+@behave.then("without a fair share some of them get less than {percent:d} percent of these")
 def check_without(context, percent):
     worst = context.entries["without shares"].find_worst(context.entries["alone"])
     assert worst < percent, worst
 
 
-@behave.given("an entry with {places:d} places")
+@behave.given("an entry with {places:d} slots")
 def create_shares(context, places):
     context.now = 100.0
     context.shares = fair_share.FairShareLimiter(places, lambda: context.now)
--- a/features/steps/crashing_requests_steps.py
+++ b/features/steps/crashing_requests_steps.py
@@ -21,7 +21,8 @@
 
 
 @behave.when(
-    "the fatal {kind} request comes at all programs in turn for {seconds:d} seconds, with new ids"
+    "the fatal {kind} request is sent to all programs in turn"
+    " for {seconds:d} seconds, with new ids"
 )
 def send_fatal(context, kind, seconds):
     until = time.monotonic() + seconds
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -170,13 +170,14 @@
 
 
 @behave.when(
-    "version {version:d}, which ends a server {fatal:g} s into a load, is named for {length:g} s"
+    "version {version:d}, which ends a server {fatal:g} s into a load,"
+    " is the target for {length:g} s"
 )
 def name_fatal(context, version, fatal, length):
     context.fleet.run(version, length, fatal)
 
 
-@behave.when("version {version:d}, which ends no server, is named for {length:g} s")
+@behave.when("version {version:d}, which ends no server, is the target for {length:g} s")
 def name_sound(context, version, length):
     context.fleet.run(version, length, None)
 
--- a/features/steps/direct_calls_steps.py
+++ b/features/steps/direct_calls_steps.py
@@ -34,7 +34,7 @@
     )
 
 
-@behave.when("a {kind} request that {most:d} servers may get is called")
+@behave.when("a {kind} request is called that may be sent to {most:d} servers")
 def call_one(context, kind, most):
     context.outcome = _call(context, kind, most)
 
@@ -53,7 +53,7 @@
     assert len(set(context.caller.ran)) == len(context.caller.ran)
 
 
-@behave.when("{count:d} {kind} requests that {most:d} servers may get are called")
+@behave.when("{count:d} {kind} requests are called that may each be sent to {most:d} servers")
 def call_many(context, count, kind, most):
     context.took = []
     for _ in range(count):
@@ -67,7 +67,7 @@
     assert max(context.took) < milliseconds, sorted(context.took)[-3:]
 
 
-@behave.when("a request is called whose caller leaves after {milliseconds:d} ms")
+@behave.when("a request is called whose caller disconnects after {milliseconds:d} ms")
 def call_leaving(context, milliseconds):
     leaves_at = time.monotonic() + milliseconds / 1000
     started = time.monotonic()
@@ -75,7 +75,9 @@
     context.took = [(time.monotonic() - started) * 1000]
 
 
-@behave.then("the call ends within {milliseconds:d} ms and its server is told")
+@behave.then(
+    "the call ends within {milliseconds:d} ms and its server is told that it is cancelled"
+)
 def check_left(context, milliseconds):
     assert context.took[0] < milliseconds, context.took
     assert context.caller.cancelled.wait(1.0)
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -30,7 +30,7 @@
     context.versions = {(f"s{n}", model): 1 for n in range(count) for model in "abc"}
 
 
-@behave.when("{versions:d} versions of each model were named and loaded")
+@behave.when("{versions:d} versions of each model were published and loaded")
 def name_versions(context, versions):
     context.loads = collections.Counter()
     context.usable = []
@@ -133,7 +133,9 @@
     return guard
 
 
-@behave.then("whenever a version was named, {usable:d} servers or more could go on at once")
+@behave.then(
+    "whenever a version was published, at least {usable:d} servers could serve the trainer"
+)
 def check_usable(context, usable):
     assert min(context.usable[2:]) >= usable, context.usable
 
@@ -146,7 +148,7 @@
     context.planner = plan.OrderPlanner()
 
 
-@behave.when("loads are seen to take {seconds:g} s")
+@behave.when("loads are observed to take {seconds:g} s")
 def see_loads(context, seconds):
     """Name versions, and let each engine say that it has loaded so long after its order."""
     loading = []
@@ -170,7 +172,7 @@
     context.planner.record_state(order, servers.EngineState(has, False, 1))
 
 
-@behave.then("{most:d} models share a server at most")
+@behave.then("at most {most:d} models share a server")
 def check_shared(context, most):
     shares = [
         sum(context.planner.is_placed(server, model) for model in "abc")
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -120,14 +120,14 @@
     context.stuck = set()
 
 
-@behave.when("{count:d} of them load for ever")
+@behave.when("{count:d} of them never finish loading")
 def hang(context, count):
     context.stuck = set(list(context.fleet.engines)[:count])
     for name in context.stuck:
         context.fleet.engines[name].left_seconds = float("inf")
 
 
-@behave.when("{count:d} versions are named, one every {seconds:d} s")
+@behave.when("{count:d} versions are published, one every {seconds:d} s")
 def name_versions(context, count, seconds):
     fleet = context.fleet
     for version in range(_FIRST_VERSION + 1, _FIRST_VERSION + 1 + count):
@@ -143,7 +143,7 @@
     assert context.fleet.most_loading <= most, context.fleet.most_loading
 
 
-@behave.then("after the last every {kind} has it within {seconds:d} s")
+@behave.then("after the last is published, every {kind} has it within {seconds:d} s")
 def check_loaded(context, kind, seconds):
     context.fleet.run(context.last_named_at + seconds)
     has = {
--- a/features/steps/order_rights_steps.py
+++ b/features/steps/order_rights_steps.py
@@ -96,7 +96,7 @@
             assert later[0] - earlier[0] > _GAP_SECONDS, (earlier, later)
 
 
-@behave.then("fencing numbers only grew with the holders")
+@behave.then("each holder has a higher fencing token than the one before")
 def check_fencing(context):
     for earlier, later in zip(
         context.holders.permissions, context.holders.permissions[1:], strict=False
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -16,7 +16,7 @@
     return servers.Server(name, 1, "engines", "127.0.0.1:1", "z", 8, False, models)
 
 
-@behave.given("the engines {engines} and the named versions {named}")
+@behave.given("the engines {engines} and the target versions {named}")
 def create_engines(context, engines, named):
     pairs = (item.split("=") for item in engines.split())
     context.engines = [_engine(name, int(version)) for name, version in pairs]
@@ -29,7 +29,9 @@
     context.planned = []
 
 
-@behave.when("orders are planned {times:d} times, {seconds:g} s after they were named, for {ids}")
+@behave.when(
+    "orders are planned {times:d} times, {seconds:g} s after they were published, for {ids}"
+)
 def plan_orders(context, times, seconds, ids):
     context.now += seconds
     for _ in range(times):
@@ -50,7 +52,7 @@
             context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
 
 
-@behave.when("{name} says that it has version {version:d} of m")
+@behave.when("{name} reports that it has version {version:d} of m")
 def record_state(context, name, version):
     order = next(item for item in context.planned if item.server.server_id == name)
     state = servers.EngineState((servers.ModelVersion("m", version),), False, 1)
@@ -58,7 +60,7 @@
         context.planner.record_state(order, state)
 
 
-@behave.when("the engines are named version {version:d}")
+@behave.when("version {version:d} is published")
 def name_version(context, version):
     context.named = {"m": directory.TargetVersion(version, context.now)}
     _plan_once(context, "all")
@@ -70,7 +72,7 @@
     assert {order.server.server_id for order in context.planned} <= set(among.split())
 
 
-@behave.given("an engine with the models {has} and the named models {named}")
+@behave.given("an engine with the models {has} and the target versions {named}")
 def create_models(context, has, named):
     pairs = [item.split("=") for item in has.split()]
     models = tuple(servers.ModelVersion(model, int(version)) for model, version in pairs)
@@ -102,7 +104,7 @@
 
 
 @behave.then(
-    "each model has {least:d} to {most:d} servers, and each server {room:d} models at most"
+    "each model has {least:d} to {most:d} servers, and each server has at most {room:d} models"
 )
 def check_shares(context, least, most, room):
     sizes = [len(found) for found in context.placement.values()]
@@ -112,7 +114,7 @@
     assert max(of_server.values()) <= room, of_server
 
 
-@behave.then("of those that stay, {count:d} at most change a model when one server is lost")
+@behave.then("when one server is lost, the others take over at most {count:d} models in all")
 def check_moved(context, count):
     for lost in context.server_ids:
         staying = [name for name in context.server_ids if name != lost]
@@ -155,7 +157,7 @@
         context.capacity.record_version("m", context.now)
 
 
-@behave.when("{count:d} loads of {seconds:g} s each were seen")
+@behave.when("{count:d} loads of {seconds:g} s each were observed")
 def record_loads(context, count, seconds):
     for _ in range(count):
         context.capacity.record_load(seconds)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -59,7 +59,7 @@
         crashes.record_crash(key, what != "shared")
 
 
-@behave.when("{seconds:d} s pass, then server {server} ends under it")
+@behave.when("{seconds:d} s pass, then server {server} ends while running it")
 def end_later(context, seconds, server):
     context.now += seconds
     context.ledger.pop_expired()
@@ -72,7 +72,7 @@
     context.was_forgotten = bool(context.ledger.pop_expired())
 
 
-@behave.then("the ledger calls it {state}")
+@behave.then("the ledger reports it as {state}")
 def check_state(context, state):
     kept = context.ledger.find_quarantine(crash_fakes.FINGERPRINT)
     seen = "suspect" if context.ledger.is_suspect(crash_fakes.FINGERPRINT) else "free"
@@ -88,7 +88,7 @@
     context.other = dataclasses.replace(crash_fakes.REQUEST, **_CHANGES[part])
 
 
-@behave.then("the two are {same}")
+@behave.then("the two requests count as {same}")
 def check_same(context, same):
     is_one = fingerprints.compute_fingerprint(context.other) == crash_fakes.FINGERPRINT
     assert is_one == (same == "one")
@@ -123,7 +123,7 @@
         known.remove_server(server.server_id)
 
 
-@behave.given("{before} under the request before")
+@behave.given("in an earlier attempt of the request, {before}")
 def end_before(context, before):
     if before.startswith("a server ended"):
         _apply(context.ledger, "X")
@@ -137,12 +137,12 @@
     return context.dispatcher.call(route, request, deadline, lambda: False)
 
 
-@behave.when("a request is called that {most:d} servers may get")
+@behave.when("a request is called that may be sent to {most:d} servers")
 def call_request(context, most):
     context.outcome = _call(context, crash_fakes.REQUEST, most)
 
 
-@behave.when("it comes again with a new id")
+@behave.when("it is called again with a new id")
 def call_again(context):
     context.caller.ran.clear()
     context.outcome = _call(
@@ -159,7 +159,7 @@
     assert len(context.published.crashes) == count, context.published.crashes
 
 
-@behave.then("it is rejected with a time of {least:d} to {most:d} s, and no server got it")
+@behave.then("it is refused with a retry time of {least:d} to {most:d} s, and no server got it")
 def check_refused(context, least, most):
     assert isinstance(context.outcome, call_outcomes.Refused), context.outcome
     assert least * 1000 <= context.outcome.retry_after_ms <= most * 1000, context.outcome
@@ -178,7 +178,7 @@
     assert is_suspect == (belief == "still suspects"), context.outcome
 
 
-@behave.then("as part of a batch it is kept for {seconds:d} s")
+@behave.then("as part of a batch it is quarantined for {seconds:d} s")
 def check_batch(context, seconds):
     kept = context.ledger.find_quarantine(crash_fakes.FINGERPRINT, ledger.BATCH_QUARANTINE_SECONDS)
     seen = round(kept.expires_at - context.now) if kept else 0
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -67,13 +67,15 @@
         entry.log.faults.is_down = False
 
 
-@behave.when("server A ends under a request at the first entry, and server B at the {name}")
+@behave.when(
+    "server A ends while running a request of the first entry, and server B of the {name}"
+)
 def end_two(context, name):
     context.entries["first"].finish("A", True)
     context.entries[name].finish("B", True)
 
 
-@behave.then("the request is kept back at {who} within {seconds:d} s")
+@behave.then("the request is quarantined at {who} within {seconds:d} s")
 def check_kept(context, who, seconds):
     names = {"both": ("first", "second"), "the first": ("first",)}.get(who)
     if names is None:
@@ -88,7 +90,8 @@
 
 
 @behave.when(
-    "server A ends under a request at the first entry, and server B answers it at the second"
+    "server A ends while running a request of the first entry,"
+    " and server B answers it at the second"
 )
 def end_and_answer(context):
     context.entries["first"].finish("A", True)
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -190,7 +190,7 @@
                     del self._processes[name]
 
 
-@behave.given("the processes {names} that report use")
+@behave.given("the processes {names} that report usage")
 def create_processes(context, names):
     context.reporting = Reporting(names.split())
 
@@ -228,7 +228,7 @@
         assert known.setdefault(report.window, report.counts) == report.counts, report
 
 
-@behave.then("no two processes reported within the gap, and fencing numbers only grew")
+@behave.then("no two processes reported within the gap, and fencing tokens only grew")
 def check_holders(context):
     told = context.reporting.told
     for earlier, later in zip(told, told[1:], strict=False):
@@ -261,13 +261,13 @@
     assert sum(names.get("red", 0) for names in taken.values()) == count, taken
 
 
-@behave.given("a counter of use whose windows nobody takes")
+@behave.given("a usage counter whose counts nobody takes")
 def create_counter(context):
     context.now_ms = 0
     context.counter = usage.UsageCounter(_WINDOW_MS, lambda: context.now_ms)
 
 
-@behave.when("requests begin in {count:d} windows")
+@behave.when("requests start in {count:d} windows")
 def count_windows(context, count):
     for _ in range(count):
         context.counter.add("red")
@@ -281,7 +281,7 @@
     assert kept == list(range(context.windows - count, context.windows)), kept
 
 
-@behave.then("a record of use of {content} can't be read")
-@behave.then("a record of use of  can't be read")
+@behave.then("a usage record of the bytes {content} can't be read")
+@behave.then("a usage record of the bytes  can't be read")
 def check_unreadable(context, content=""):
     assert usage_records.decode_record(bytes.fromhex(content)).is_error()
--- a/features/usage.feature
+++ b/features/usage.feature
@@ -1,14 +1,14 @@
-Feature: Use is reported once for each window, whoever reports it
-  Processes a, b and c share a log. Windows have 5 s and are due 10 s after their end; a word like
-  5s lets time pass, a.begin=red*3 sends three requests of organisation red from process a.
+Feature: Usage is reported exactly once for each window, by whichever process holds the lease
+  Processes a, b and c share a log. Windows last 5 s and are due 10 s after their end. In a script, 5s
+  lets 5 seconds pass, and a.begin=red*3 sends three requests of organisation red from process a.
 
-  Scenario Outline: A window is reported in time, with all that began in it
-    # Guards against missing, doubled or lost counts, whatever happens to the log and the holder.
-    Given the processes a b c that report use
+  Scenario Outline: A window is reported in time, with all requests that started in it
+    # Guards against missing or duplicate counts when the log, the platform or the lease holder fails.
+    Given the processes a b c that report usage
     When they do <script>
     Then window 0 was reported with <counts> in time
     And no window was reported with two counts
-    And no two processes reported within the gap, and fencing numbers only grew
+    And no two processes reported within the gap, and fencing tokens only grew
 
     Examples: the path of the counts
       | script                                                           | counts        |
@@ -47,13 +47,13 @@
       | platform.down b.begin=red*3 9s platform.up 20s                   | red=3         |
       | platform.lost b.begin=red*3 7.2s a.kill 20s                      | red=3         |
 
-  Scenario: A window that nobody could report in time is reported once the log is back
-    # Guards against use that is never billed after an outage.
-    Given the processes a b c that report use
+  Scenario: A window that could not be reported in time is reported after the log's outage
+    # Guards against usage that is never billed after an outage.
+    Given the processes a b c that report usage
     When they do b.begin=red*3 1s a.down b.down c.down 25s a.up b.up c.up 12s
     Then window 0 was reported with red=3
 
-  Scenario Outline: Only what a server may have begun is counted
+  Scenario Outline: Only requests that a server may have started are counted
     # Guards against organisations billed for requests that no server ran.
     Given one server that <behaves>
     When an idempotent call of red is sent to it
@@ -68,15 +68,15 @@
       | other   | 0     |
       | refuses | 0     |
 
-  Scenario: Counts that nobody takes are bounded
-    # Guards against memory that grows while the log is away.
-    Given a counter of use whose windows nobody takes
-    When requests begin in 500 windows
+  Scenario: The number of windows with counts that were not taken is bounded
+    # Guards against memory that grows while the log is unavailable.
+    Given a usage counter whose counts nobody takes
+    When requests start in 500 windows
     Then the counts of the newest 64 windows are kept
 
-  Scenario Outline: Another writer's record is passed over
-    # Guards against a report that stops for bytes that can't be read.
-    Then a record of use of <content> can't be read
+  Scenario Outline: Usage records that can't be decoded are rejected
+    # Guards against reports that stop at bytes that can't be decoded.
+    Then a usage record of the bytes <content> can't be read
 
     Examples:
       | content         |
@@ -88,8 +88,8 @@
       | 83026178a0      |
       | 830205a16172f6  |
 
-  Scenario: The program reports to the platform, in its node's name and with a fencing number
-    # Guards against a duty that the deployed program does not do.
+  Scenario: The program reports to the platform, in its node's name and with a fencing token
+    # Guards against a duty that the deployed program does not perform.
     Given the front program with windows of 1 s, and the organisations red and blue
     When 3 calls of red are answered
     Then the platform is told of 3 requests of red, and of idle windows, each window once
