--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -28,8 +28,8 @@
     batch continues, and announces this in the index. The new owner of the partition takes the
     batch when the runner hands it over or writes no more records, and the runner stops when it
     reads of that. Two processes may run one batch for a moment, which costs work and changes no
-    result. In simulated days with one process cut off, 1 run in 19 lost a step and a half to such
-    a move without this rule, and none in 16 with it.
+    result. With one process cut off, 1 of 19 test runs without this rule lost a step and a half
+    to such a move, and none of 16 with it.
     """
 
     def __init__(
@@ -44,9 +44,10 @@
         self._previous_runners: dict[str, str] = {}
         """Runner in the index, by batch, at the time when this process took the batch."""
         self._unheard_since: dict[str, float] = {}
+        """When this process began to wait for a record of a batch's runner, by batch."""
 
     def may_take(self, batch: fold.Batch) -> bool:
-        """Return whether this process should start to run a batch."""
+        """Return whether this process should start to run a batch that it does not run yet."""
         if not self._partition_ownership.owns(self._journal.find_runner_partition(batch)):
             return self._is_orphan(batch)
         if batch.runner in ("", self._name):
@@ -61,7 +62,7 @@
         )
 
     def must_stop(self, batch: fold.Batch) -> bool:
-        """Return whether this process must stop a batch, as another may run or have taken it."""
+        """Return whether this process must stop a batch: another has taken it, or may have."""
         if not self._partition_ownership.is_believed:
             return True
         return batch.runner not in (self._name, self._previous_runners.get(batch.batch_id, ""))
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -26,9 +26,11 @@
 short enough that its step does not give the item up first."""
 _MILLISECONDS = 1000
 _LEAST_URGENT = 5
+"""Urgencies that engines understand range from this to `_MOST_URGENT`."""
 _MOST_URGENT = 1
 _URGENCY_RANGE = 4
-"""Difference between the two urgencies; an item runs through it in the time its batch is due."""
+"""Difference between the two urgencies. A batch's items cover it in the time in which the batch is
+due."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -64,7 +66,11 @@
 
 
 class BatchRun:
-    """Schedules the items of one batch that have no result yet; thread-safe."""
+    """
+    Schedules the items of one batch that have no result yet; thread-safe.
+
+    The scheduler counts in tokens. Engines send events, so each event counts as `event_tokens`.
+    """
 
     def __init__(
         self,
@@ -86,7 +92,9 @@
         self._last_servers: dict[int, str] = {}
         self._is_stopped = False
         self._received_events: dict[str, int] = {}
+        """Events of each attempt in flight, by work id."""
         self._checkpointed_events: dict[int, int] = {}
+        """Events of each item's text at its last checkpoint, by item number."""
         self._results: dict[int, submission.ItemResult] = {}
         self._known_finished: set[int] = set()
 
@@ -294,7 +302,7 @@
             self._scheduler.fail(item.work.work_id, clock.read_now())
 
     def requeue(self, item: ItemWork, delay_seconds: float = 0.0) -> None:
-        """Put an item back in the queue whose attempt was refused or not sent, after a delay."""
+        """Queue an item again, after a delay, whose attempt was refused or never sent."""
         with self._lock:
             self._clear_attempt(item)
             self._scheduler.put_back(item.work.work_id, clock.read_now() + delay_seconds)
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -27,7 +27,7 @@
 _HAND_OVER_RETRY_SECONDS = 0.1
 """Pause between attempts to hand batches over while the log does not answer."""
 _WINDOWS_FULL_RETRY_SECONDS = 0.05
-"""Delay before an item is tried again when the send windows of all its servers are full."""
+"""Delay before an item is tried again when the router's windows of all its servers are full."""
 _MAX_QUARANTINE_DEFER_SECONDS = 5.0
 """Longest deferral of a quarantined item. A quarantine may end early, when the same request is
 answered through another process."""
@@ -36,7 +36,7 @@
 
 class BatchRunner:
     """
-    Starts items on engines with free slots, those of the batch taken first before others.
+    Starts items on engines with free slots, in the order in which their batches were taken.
 
     Each item runs on a thread of a bounded pool. Runs are stopped when their batch ends or another
     process takes it; that process resumes from the journal.
--- a/programs/oleanderdeal/oleanderdeal/help_texts.py
+++ b/programs/oleanderdeal/oleanderdeal/help_texts.py
@@ -10,7 +10,7 @@
     setting_table.Command.PUBLISH: "put a contract in force",
     setting_table.Command.CHECK: "check a contract without publishing it",
     setting_table.Command.SHOW: "show the contracts and weight versions in force",
-    setting_table.Command.AUDIT: "show every change: when, by whom, and what became of it",
+    setting_table.Command.AUDIT: "show every change: when, by whom, and its outcome",
     setting_table.Command.REPORT: "show what each customer received against what it was promised",
 }
 
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -25,6 +25,7 @@
 _EVENTS_PER_RATE_REPORT = 5
 """Number of events between two reports of a server's rate to the router."""
 _UNPROCESSABLE_STATUS = 422
+"""Status with which a server rejects an item that can never succeed."""
 
 
 class ItemRunner:
@@ -172,12 +173,16 @@
         self._events = 0
         self._longest_gap_seconds = 0.0
         self.was_refused = False
+        """Whether the server answered that it did not run the item."""
         self._was_cancelled = False
         self.was_answered = False
+        """Whether the server sent an answer in place of a stream."""
         self.was_error = False
+        """Whether that answer was a server error, which counts towards giving the item up."""
         self.server_ended = False
         self.was_sent = True
         self.reason = ""
+        """Why the attempt failed; empty if its text is complete."""
 
     def run(self) -> steps.Sample | submission.ItemResult | None:
         """Return the complete text, a final result, or `None` if the item is to be tried again."""
--- a/programs/oleanderdeal/oleanderdeal/result_writer.py
+++ b/programs/oleanderdeal/oleanderdeal/result_writer.py
@@ -29,6 +29,7 @@
             collections.deque()
         )
         self._writing = 0
+        """Number of results in the last append; 0 again once the queue is found empty."""
 
     @property
     def is_full(self) -> bool:
@@ -73,6 +74,7 @@
             return taken
 
     def _append_results(self, taken: list[tuple[str, int, submission.ItemResult]]) -> bool:
+        """Append results of one batch, unless known; return whether none must be retried."""
         batch_id = taken[0][0]
         batch = self._journal.index.find(batch_id)
         if batch is None:
