--- a/programs/oleanderdeal/oleanderdeal/caller_api.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_api.py
@@ -185,11 +185,11 @@
 def _build_answer(
     request: callers.CallerRequest, answer: messages.Answer, observer: GenerationObserver
 ) -> callers.CallerAnswer:
-    passed = callers.convert_answer(answer)
-    if request.generation is None or passed.outcome is not messages.Outcome.DONE:
-        return passed
+    converted = callers.convert_answer(answer)
+    if request.generation is None or converted.outcome is not messages.Outcome.DONE:
+        return converted
     body = json.dumps({"text": observer.text, "label": _write_label(observer.label)}).encode()
-    return dataclasses.replace(passed, body=body, label=observer.label)
+    return dataclasses.replace(converted, body=body, label=observer.label)
 
 
 def _write_label(label: tuple[callers.LabelPart, ...]) -> list[dict[str, int]]:
--- a/programs/oleanderdeal/oleanderdeal/caller_requests.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_requests.py
@@ -25,15 +25,15 @@
     request: http_messages.HttpRequest, terms: contract.Contract, operation: contract.Operation
 ) -> expression.Result[callers.CallerRequest, findings.Findings]:
     """Return the valid request, or a finding for each problem."""
-    found: list[findings.Finding] = []
-    key = _read_key(request, operation, found)
-    trace_id = _read_trace_id(request, found)
-    timeout_ms = _read_timeout(request, operation, found)
+    problems: list[findings.Finding] = []
+    key = _read_key(request, operation, problems)
+    trace_id = _read_trace_id(request, problems)
+    timeout_ms = _read_timeout(request, operation, problems)
     if len(request.body) > MAX_BODY_BYTES:
-        found.append(findings.Finding("body", f"is larger than {MAX_BODY_BYTES} bytes"))
-    prompt = _read_generation_body(request.body, found) if operation.generates else None
-    if found:
-        return expression.Error(findings.Findings(tuple(found)))
+        problems.append(findings.Finding("body", f"is larger than {MAX_BODY_BYTES} bytes"))
+    prompt = _read_generation_body(request.body, problems) if operation.generates else None
+    if problems:
+        return expression.Error(findings.Findings(tuple(problems)))
     return expression.Ok(
         callers.CallerRequest(
             customer=terms.customer,
@@ -53,11 +53,11 @@
 def _read_key(
     request: http_messages.HttpRequest,
     operation: contract.Operation,
-    found: list[findings.Finding],
+    problems: list[findings.Finding],
 ) -> str:
     key = request.find_header("Idempotency-Key")
     if not key and not operation.repeatable:
-        found.append(
+        problems.append(
             findings.Finding(
                 "header Idempotency-Key",
                 "is missing",
@@ -65,16 +65,16 @@
             )
         )
     elif key and not _KEY_PATTERN.fullmatch(key):
-        found.append(
+        problems.append(
             findings.Finding("header Idempotency-Key", "is not 1 to 200 visible ASCII characters")
         )
     return key
 
 
-def _read_trace_id(request: http_messages.HttpRequest, found: list[findings.Finding]) -> str:
+def _read_trace_id(request: http_messages.HttpRequest, problems: list[findings.Finding]) -> str:
     trace_id = request.find_header("Trace-Id") or identifiers.create_nonce()
     if not _TRACE_ID_PATTERN.fullmatch(trace_id):
-        found.append(
+        problems.append(
             findings.Finding("header Trace-Id", "is not 1 to 100 visible ASCII characters")
         )
     return trace_id
@@ -83,13 +83,13 @@
 def _read_timeout(
     request: http_messages.HttpRequest,
     operation: contract.Operation,
-    found: list[findings.Finding],
+    problems: list[findings.Finding],
 ) -> int:
     text = request.find_header("Request-Timeout-Ms")
     if not text:
         return operation.timeout_ms
     if not _NUMBER_PATTERN.fullmatch(text) or int(text) == 0:
-        found.append(
+        problems.append(
             findings.Finding("header Request-Timeout-Ms", "is not a whole number above 0")
         )
         return operation.timeout_ms
@@ -102,39 +102,39 @@
     is_streamed: bool
 
 
-def _read_generation_body(body: bytes, found: list[findings.Finding]) -> _GenerationBody | None:
+def _read_generation_body(body: bytes, problems: list[findings.Finding]) -> _GenerationBody | None:
     try:
         content = json.loads(body)
     except ValueError:
-        found.append(findings.Finding("body", "is not JSON"))
+        problems.append(findings.Finding("body", "is not JSON"))
         return None
     if not isinstance(content, dict):
-        found.append(findings.Finding("body", "is not a JSON object"))
+        problems.append(findings.Finding("body", "is not a JSON object"))
         return None
-    before = len(found)
-    prompt = _read_field(content, "prompt", str, None, found)
-    prefix = _read_field(content, "prefix", str, "", found)
-    most = _read_field(content, "max_tokens", int, None, found)
-    is_streamed = _read_field(content, "stream", bool, False, found)
-    if isinstance(most, int) and not 1 <= most <= MAX_TOKENS:
-        found.append(findings.Finding("body.max_tokens", f"is not from 1 to {MAX_TOKENS}"))
-    if len(found) > before:
+    previous_problems = len(problems)
+    prompt = _read_field(content, "prompt", str, None, problems)
+    prefix = _read_field(content, "prefix", str, "", problems)
+    max_tokens = _read_field(content, "max_tokens", int, None, problems)
+    is_streamed = _read_field(content, "stream", bool, False, problems)
+    if isinstance(max_tokens, int) and not 1 <= max_tokens <= MAX_TOKENS:
+        problems.append(findings.Finding("body.max_tokens", f"is not from 1 to {MAX_TOKENS}"))
+    if len(problems) > previous_problems:
         return None
-    terms = messages.GenerationTerms("", prefix, most, "", 0, _NO_OLDEST_VERSION)
+    terms = messages.GenerationTerms("", prefix, max_tokens, "", 0, _NO_OLDEST_VERSION)
     return _GenerationBody(prompt.encode(), terms, is_streamed)
 
 
 def _read_field(
     content: dict[str, typing.Any],
     name: str,
-    kind: type,
+    expected_type: type,
     default: typing.Any,
-    found: list[findings.Finding],
+    problems: list[findings.Finding],
 ) -> typing.Any:
     if name not in content and default is not None:
         return default
     value = content.get(name)
-    if type(value) is not kind:
-        problem = "is missing" if name not in content else f"is no {kind.__name__}"
-        found.append(findings.Finding(f"body.{name}", problem))
+    if type(value) is not expected_type:
+        problem = "is missing" if name not in content else f"is no {expected_type.__name__}"
+        problems.append(findings.Finding(f"body.{name}", problem))
     return value
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -79,10 +79,10 @@
             claim = attempt.ok.logged.claim
             if claim.digest != request.digest:
                 return callers.build_conflict()
-            tried = self._run_attempt(request, attempt.ok)
-            if tried.is_ok():
-                return tried.ok
-            last_not_run = tried.error
+            result = self._run_attempt(request, attempt.ok)
+            if result.is_ok():
+                return result.ok
+            last_not_run = result.error
             if last_not_run.evidence != _SEALED_EVIDENCE:
                 excluded |= {claim.sidecar}
             if request.deadline.is_past:
@@ -129,7 +129,7 @@
     def _claim(
         self,
         request: callers.CallerRequest,
-        number: int,
+        attempt: int,
         evidence: str,
         excluded: frozenset[str],
     ) -> expression.Result[_Attempt, callers.CallerAnswer]:
@@ -137,12 +137,12 @@
             self._router, self._links, request.operation, excluded, request.deadline
         )
         if link.is_error():
-            return expression.Error(self.refuse(request, link.error, number - 1))
+            return expression.Error(self.refuse(request, link.error, attempt - 1))
         claim = records.Claim(
             customer=request.customer,
             key=request.key,
             digest=request.digest,
-            attempt=number,
+            attempt=attempt,
             sidecar=link.ok.name,
             address=link.ok.host.address,
             incarnation=link.ok.incarnation,
@@ -151,7 +151,7 @@
         )
         decided = self._claims.propose(claim, request.deadline)
         if decided.is_error():
-            return expression.Error(self._refuse_claim(request, decided.error, number - 1))
+            return expression.Error(self._refuse_claim(request, decided.error, attempt - 1))
         is_own = decided.ok.claim.nonce == claim.nonce
         return expression.Ok(_Attempt(decided.ok, is_own))
 
@@ -180,10 +180,10 @@
             return _build_not_run(claim, _NOT_SENT_EVIDENCE, "link-lost")
         started_at = clock.read_now()
         self._router.note_started(claim.sidecar)
-        tried = self._send(request, attempt.logged, link)
+        result = self._send(request, attempt.logged, link)
         service_ms = (clock.read_now() - started_at) * 1000
-        self._router.note_finished(claim.sidecar, _classify_outcome(tried), service_ms)
-        return tried
+        self._router.note_finished(claim.sidecar, _classify_outcome(result), service_ms)
+        return result
 
     def _send(
         self,
@@ -219,11 +219,11 @@
         further attempt but never runs a request twice.
         """
         claim = logged.claim
-        fresh = clock.Deadline(logged.folded_at + _CLAIMANT_GRACE_SECONDS)
-        while not fresh.is_past and not request.deadline.is_past:
+        grace = clock.Deadline(logged.folded_at + _CLAIMANT_GRACE_SECONDS)
+        while not grace.is_past and not request.deadline.is_past:
             link = self._links.find_or_dial(claim.sidecar, claim.address)
             call = key_inquiry.send_find(link, request)
-            answer = calls.await_answer(call, fresh)
+            answer = calls.await_answer(call, grace)
             link.close_call(call)
             if answer is None or answer.reason != messages.REASON_UNSEEN:
                 return
@@ -301,10 +301,10 @@
     return expression.Error(NotRun(claim.attempt, evidence, callers.build_refusal(reason, 200)))
 
 
-def _classify_outcome(tried: _AttemptResult) -> router.RouteOutcome:
-    if tried.is_error():
+def _classify_outcome(result: _AttemptResult) -> router.RouteOutcome:
+    if result.is_error():
         return router.RouteOutcome.REFUSED
-    match tried.ok.outcome:
+    match result.ok.outcome:
         case messages.Outcome.DONE:
             return router.RouteOutcome.OK
         case messages.Outcome.UNKNOWN:
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -100,17 +100,17 @@
         may_have_run = False
         attempt = 1
         while True:
-            ended = yield from self._stream_attempt(job, attempt, excluded, deadline, observer)
-            may_have_run = may_have_run or ended.answer.outcome is not messages.Outcome.NOT_RUN
-            if not _may_retry(ended, deadline, observer):
+            result = yield from self._stream_attempt(job, attempt, excluded, deadline, observer)
+            may_have_run = may_have_run or result.answer.outcome is not messages.Outcome.NOT_RUN
+            if not _may_retry(result, deadline, observer):
                 break
-            if not _was_refused_by_leaving(ended):
+            if not _was_refused_by_leaving(result):
                 attempt += 1
                 if attempt > _MAX_ATTEMPTS or not budget.try_take():
                     break
             metrics.count(metrics.RETRIES)
-            excluded |= {ended.peer}
-        yield _apply_earlier_attempts(ended, may_have_run)
+            excluded |= {result.peer}
+        yield _apply_earlier_attempts(result, may_have_run)
 
     def run_once(
         self, job: Job, deadline: clock.Deadline, observer: JobObserver, avoided: frozenset[str]
@@ -120,10 +120,10 @@
 
         A sidecar in `avoided` is still chosen if there are no others.
         """
-        ended = self._run_attempt(job, deadline, observer, avoided)
-        if avoided and not ended.peer:
+        result = self._run_attempt(job, deadline, observer, avoided)
+        if avoided and not result.peer:
             return self._run_attempt(job, deadline, observer, frozenset())
-        return ended
+        return result
 
     def _run_attempt(
         self, job: Job, deadline: clock.Deadline, observer: JobObserver, avoided: frozenset[str]
@@ -170,18 +170,18 @@
         observer: JobObserver,
     ) -> _AttemptEvents:
         call = link.open_call(calls.create_request_id(), is_only_one=True)
-        is_ended = False
+        is_finished = False
         try:
             run = _build_run(call.request_id, link.incarnation, job, attempt, deadline, observer)
             if link.send(run).is_error():
-                is_ended = True
+                is_finished = True
                 return _build_not_run("link-lost", 200)
             answer = yield from _stream_call(call, deadline, observer)
-            is_ended = answer is not None
+            is_finished = answer is not None
             return answer or _build_unfinished(deadline)
         finally:
             link.close_call(call)
-            if not is_ended:
+            if not is_finished:
                 link.send(messages.Cancel(call.request_id))
 
 
@@ -206,24 +206,24 @@
     return _build_unknown(_TOO_LATE if deadline.is_past else _CANCELLED)
 
 
-def _may_retry(ended: JobResult, deadline: clock.Deadline, observer: JobObserver) -> bool:
-    if ended.answer.outcome is messages.Outcome.DONE or not ended.peer:
+def _may_retry(result: JobResult, deadline: clock.Deadline, observer: JobObserver) -> bool:
+    if result.answer.outcome is messages.Outcome.DONE or not result.peer:
         return False
     return not deadline.is_past and not observer.is_gone()
 
 
-def _was_refused_by_leaving(ended: JobResult) -> bool:
-    answer = ended.answer
+def _was_refused_by_leaving(result: JobResult) -> bool:
+    answer = result.answer
     is_refusal = answer.outcome is messages.Outcome.NOT_RUN
     return is_refusal and answer.reason == admission_work.LEAVING
 
 
-def _apply_earlier_attempts(ended: JobResult, may_have_run: bool) -> JobResult:
+def _apply_earlier_attempts(result: JobResult, may_have_run: bool) -> JobResult:
     """Report "unknown" if the last attempt did not run but an earlier one may have."""
-    answer = ended.answer
+    answer = result.answer
     if answer.outcome is not messages.Outcome.NOT_RUN or not may_have_run:
-        return ended
-    return JobResult(_build_unknown(answer.reason), ended.peer)
+        return result
+    return JobResult(_build_unknown(answer.reason), result.peer)
 
 
 def _build_route_request(
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -88,11 +88,11 @@
 
     def _preempt_for(self, priority: int) -> None:
         """Cancel a repeatable request of lower priority; it is resumed at another sidecar."""
-        victim = self._queue.find_preemptible(priority)
-        if victim is None:
+        work_id = self._queue.find_preemptible(priority)
+        if work_id is None:
             return
         with self._lock:
-            pending = self._pending.get(victim)
+            pending = self._pending.get(work_id)
         if pending is not None and pending.run.repeatable:
             pending.cancel()
 
@@ -109,8 +109,8 @@
         started_at = clock.read_now()
         answer = self._run_unless_abandoned(pending)
         service_ms = (clock.read_now() - started_at) * 1000
-        is_whole = answer.outcome is messages.Outcome.DONE
-        self._queue.finish(work_id, service_ms, completed=is_whole)
+        is_done = answer.outcome is messages.Outcome.DONE
+        self._queue.finish(work_id, service_ms, completed=is_done)
         _log_run(pending, answer, service_ms)
         self._answer(work_id, answer)
 
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -77,10 +77,10 @@
 
     def _has_free_thread(self, gate: Gate) -> bool:
         held = sum(self._held.values())
-        others = held - self._held[Gate.CRITICAL]
+        non_critical = held - self._held[Gate.CRITICAL]
         if held >= self._max_total or self._held[gate] >= self._max_per_gate[gate]:
             return False
-        return gate is Gate.CRITICAL or others < self._max_non_critical
+        return gate is Gate.CRITICAL or non_critical < self._max_non_critical
 
 
 def _compute_limit(threads: int, part: float) -> int:
--- a/programs/oleanderdeal/oleanderdeal/key_inquiry.py
+++ b/programs/oleanderdeal/oleanderdeal/key_inquiry.py
@@ -40,20 +40,20 @@
             if answer is not None and answer.outcome is not messages.Outcome.NOT_RUN:
                 return _convert_answer(answer)
         read_at = self._claims.find_read_time(request.customer, request.key)
-        is_sure = self._links.covers_all and None not in answers
-        if not is_sure or self._links.lost_at >= read_at:
+        has_all_answers = self._links.covers_all and None not in answers
+        if not has_all_answers or self._links.lost_at >= read_at:
             return callers.build_unknown(REASON_UNSURE, _RETRY_AFTER_MS)
         return refusal
 
     def _ask_sidecars(self, request: callers.CallerRequest) -> list[messages.Answer | None]:
         """Return each sidecar's answer, `None` for one that did not answer in time."""
         deadline = clock.start_deadline(_ASK_TIMEOUT_SECONDS)
-        asked = [
+        pending_calls = [
             (link, send_find(link, request))
             for link in self._links.list_routed(request.operation.backend)
         ]
         answers = []
-        for link, call in asked:
+        for link, call in pending_calls:
             answers.append(calls.await_answer(call, deadline))
             link.close_call(call)
         return answers
@@ -71,7 +71,7 @@
 def _convert_answer(answer: messages.Answer) -> callers.CallerAnswer:
     if answer.reason == messages.REASON_OTHER_BODY:
         return callers.build_conflict()
-    passed = callers.convert_answer(answer)
-    if passed.outcome is messages.Outcome.UNKNOWN:
-        return callers.build_unknown(passed.reason, _RETRY_AFTER_MS)
-    return passed
+    converted = callers.convert_answer(answer)
+    if converted.outcome is messages.Outcome.UNKNOWN:
+        return callers.build_unknown(converted.reason, _RETRY_AFTER_MS)
+    return converted
--- a/programs/oleanderdeal/oleanderdeal/key_ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -124,19 +124,19 @@
         if answer is not None:
             listener(answer)
 
-    def find(self, asked: messages.Find) -> messages.Answer:
+    def find(self, find: messages.Find) -> messages.Answer:
         """
         Return the state of a key as an answer, without sealing an unseen key.
 
         An evicted key counts as unseen; its claim is older than those that any entry remembers.
         """
         with self._lock:
-            entry = self._entries.get((asked.customer, asked.key))
+            entry = self._entries.get((find.customer, find.key))
             if entry is None:
                 return create_answer(messages.Outcome.NOT_RUN, messages.REASON_UNSEEN)
-            if entry.digest == asked.digest and entry.state is KeyState.STARTED:
+            if entry.digest == find.digest and entry.state is KeyState.STARTED:
                 return create_answer(messages.Outcome.UNKNOWN, REASON_RUNNING)
-            return _build_ended_answer(entry, asked.digest)
+            return _build_ended_answer(entry, find.digest)
 
     def end(self, run: messages.Run, answer: messages.Answer) -> None:
         """Store a started key's answer and pass it to all its listeners."""
@@ -166,20 +166,20 @@
             return not self._may_be_evicted(join)
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
 
-    def _may_be_evicted(self, asked: messages.Run | messages.Join) -> bool:
+    def _may_be_evicted(self, message: messages.Run | messages.Join) -> bool:
         """Return whether an unknown key may have been in the ledger and evicted."""
-        return asked.claim_offset <= self._evicted_offsets.get(asked.shard, -1)
+        return message.claim_offset <= self._evicted_offsets.get(message.shard, -1)
 
     def _get_answer_or_listen(
         self,
         entry: _KeyEntry | None,
-        asked: messages.Run | messages.Join,
+        message: messages.Run | messages.Join,
         listener: Listener,
     ) -> messages.Answer | None:
         if entry is None:
             return create_answer(messages.Outcome.UNKNOWN, REASON_FORGOTTEN)
-        if entry.digest != asked.digest or entry.state is not KeyState.STARTED:
-            return _build_ended_answer(entry, asked.digest)
+        if entry.digest != message.digest or entry.state is not KeyState.STARTED:
+            return _build_ended_answer(entry, message.digest)
         if len(entry.listeners) >= _MAX_LISTENERS_PER_KEY:
             return create_answer(messages.Outcome.UNKNOWN, REASON_TOO_MANY_WAITING)
         entry.listeners.append(listener)
@@ -187,19 +187,19 @@
 
     def _insert(
         self,
-        asked: messages.Run | messages.Join,
+        message: messages.Run | messages.Join,
         state: KeyState,
         listener: Listener | None,
     ) -> None:
-        name = (asked.customer, asked.key)
+        key_id = (message.customer, message.key)
         listeners = [] if listener is None else [listener]
-        earlier = self._entries.pop(name, None)
-        places = [] if earlier is None else earlier.positions
-        places.append(_ClaimPosition(asked.shard, asked.claim_offset))
-        self._entries[name] = _KeyEntry(
-            asked.attempt, asked.digest, places, state, None, listeners
+        earlier = self._entries.pop(key_id, None)
+        positions = [] if earlier is None else earlier.positions
+        positions.append(_ClaimPosition(message.shard, message.claim_offset))
+        self._entries[key_id] = _KeyEntry(
+            message.attempt, message.digest, positions, state, None, listeners
         )
-        if asked.shard == messages.TICKET_SHARD:
+        if message.shard == messages.TICKET_SHARD:
             self._count_ticket()
         self._evict_oldest()
 
@@ -220,12 +220,12 @@
 
     def _evict_oldest(self) -> None:
         while len(self._entries) > self._max_keys:
-            name = next(
+            key_id = next(
                 (n for n, e in self._entries.items() if e.state is not KeyState.STARTED), None
             )
-            if name is None:
+            if key_id is None:
                 return
-            self._record_evicted(self._entries.pop(name))
+            self._record_evicted(self._entries.pop(key_id))
 
     def _record_evicted(self, entry: _KeyEntry) -> None:
         for place in entry.positions:
--- a/programs/oleanderdeal/oleanderdeal/lost_answers.py
+++ b/programs/oleanderdeal/oleanderdeal/lost_answers.py
@@ -36,5 +36,5 @@
     def is_any_awaited(self, now: float) -> bool:
         """Return whether an entry may still ask for an answer."""
         with self._lock:
-            newest = next(reversed(self._lost_at.values()), None)
-        return newest is not None and now - newest < _REDIAL_SECONDS
+            newest_lost_at = next(reversed(self._lost_at.values()), None)
+        return newest_lost_at is not None and now - newest_lost_at < _REDIAL_SECONDS
--- a/programs/oleanderdeal/oleanderdeal/result_writer.py
+++ b/programs/oleanderdeal/oleanderdeal/result_writer.py
@@ -73,22 +73,22 @@
             self._writing = len(taken)
             return taken
 
-    def _append_results(self, taken: list[tuple[str, int, submission.ItemResult]]) -> bool:
+    def _append_results(self, results: list[tuple[str, int, submission.ItemResult]]) -> bool:
         """Append results of one batch, unless known; return whether none must be retried."""
-        batch_id = taken[0][0]
+        batch_id = results[0][0]
         batch = self._journal.index.find(batch_id)
         if batch is None:
             log.warn_bounded(
                 "results-dropped", "the batch is no longer in the index", batch=batch_id
             )
             return True
-        numbered = [(number, result) for _, number, result in taken]
-        fresh = [item for item in numbered if item[0] not in batch.finished]
-        if not fresh:
+        numbered = [(number, result) for _, number, result in results]
+        unlisted = [item for item in numbered if item[0] not in batch.finished]
+        if not unlisted:
             return True
-        written = self._journal.finish(batch_id, fresh)
+        written = self._journal.finish(batch_id, unlisted)
         if written.is_error():
             log.warn_bounded("results-unwritten", written.error.detail, batch=batch_id)
             return False
-        metrics.count(metrics.RESULTS_WRITTEN, len(fresh))
+        metrics.count(metrics.RESULTS_WRITTEN, len(unlisted))
         return True
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -47,13 +47,13 @@
             return callers.build_unknown(ticket.value)
         if ticket is None or self._claims.find(request.customer, request.key) is not None:
             return self._claim_dispatcher.run(request)
-        tried = self._run_at_sidecar(request, ticket)
-        if tried.is_ok():
-            return tried.ok
+        result = self._run_at_sidecar(request, ticket)
+        if result.is_ok():
+            return result.ok
         if request.deadline.is_past:
             # This process may have been suspended while another entry claimed the key.
-            return self._claim_dispatcher.refuse(request, tried.error.answer)
-        return self._claim_dispatcher.run(request, tried.error)
+            return self._claim_dispatcher.refuse(request, result.error.answer)
+        return self._claim_dispatcher.run(request, result.error)
 
     def refuse(
         self, request: callers.CallerRequest, refusal: callers.CallerAnswer
@@ -105,12 +105,14 @@
 def _classify_answer(
     answer: messages.Answer,
 ) -> expression.Result[callers.CallerAnswer, claim_dispatch.NotRun]:
-    passed = callers.convert_answer(answer)
+    converted = callers.convert_answer(answer)
     if answer.outcome is messages.Outcome.NOT_RUN:
-        return expression.Error(claim_dispatch.NotRun(_TICKET_ATTEMPT, _SEALED_EVIDENCE, passed))
+        return expression.Error(
+            claim_dispatch.NotRun(_TICKET_ATTEMPT, _SEALED_EVIDENCE, converted)
+        )
     if answer.reason == messages.REASON_OTHER_BODY:
         return expression.Ok(callers.build_conflict())
-    return expression.Ok(passed)
+    return expression.Ok(converted)
 
 
 def _build_run(
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -168,14 +168,14 @@
         oldest window whose counts may still arrive: a process may have counted before there was a
         holder, and append its counts a moment later.
         """
-        now = clock.read_wall_ms() // self._settings.window_ms
-        unsettled = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
-        reported = self._fold.newest_reported
-        if reported is not None:
-            return max(now - usage_fold.MOST_WINDOWS, reported + 1 - _REPEATED_WINDOWS)
-        counted = self._fold.oldest_counted
-        oldest = unsettled if counted is None else min(unsettled, counted)
-        return max(now - usage_fold.MOST_WINDOWS, oldest)
+        current = clock.read_wall_ms() // self._settings.window_ms
+        first_not_due = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
+        newest_reported = self._fold.newest_reported
+        if newest_reported is not None:
+            return max(current - usage_fold.MOST_WINDOWS, newest_reported + 1 - _REPEATED_WINDOWS)
+        oldest_counted = self._fold.oldest_counted
+        oldest = first_not_due if oldest_counted is None else min(first_not_due, oldest_counted)
+        return max(current - usage_fold.MOST_WINDOWS, oldest)
 
     def _report_window(self, window: int) -> bool:
         """Report one window; return whether nothing is left to do for it."""
