--- a/programs/oleanderdeal/oleanderdeal/callers.py
+++ b/programs/oleanderdeal/oleanderdeal/callers.py
@@ -14,12 +14,16 @@
     customer: str
     operation: contract.Operation
     terms: contract.Contract
+    """The customer's contract in force."""
     key: str
+    """Idempotency key; empty if the caller sent none, which only repeatable operations allow."""
     digest: str
+    """Hash of operation and body, by which the use of a key for another body is detected."""
     trace_id: str
     deadline: clock.Deadline
     body: bytes
     generation: messages.GenerationTerms | None
+    """`None` for a call of a plain service."""
     is_streamed: bool
 
 
@@ -37,7 +41,9 @@
 
     outcome: messages.Outcome
     status: int
+    """HTTP status."""
     reason: str
+    """Machine-readable reason; empty if the request succeeded."""
     retry_after_ms: int
     body: bytes
     label: tuple[LabelPart, ...] = ()
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -46,7 +46,9 @@
 
     attempt: int
     evidence: str
+    """Why the attempt can't run; recorded in the claim of the next one."""
     answer: callers.CallerAnswer
+    """The answer to the caller if no further attempt is made."""
 
 
 _AttemptResult = expression.Result[callers.CallerAnswer, NotRun]
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -32,14 +32,16 @@
     backend: str
     priority: contract.Priority
     key: str
+    """Idempotency key of the caller, which is passed on to the service; may be empty."""
     trace_id: str
     body: bytes
     generation: messages.GenerationTerms | None
+    """`None` for a call of a plain service."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class JobResult:
-    """The answer of a job's last attempt, and the sidecar that it ran at, or "" without one."""
+    """The answer of a job's last attempt, and its sidecar; `peer` is empty if none was chosen."""
 
     answer: messages.Answer
     peer: str
@@ -203,6 +205,7 @@
 
 
 def _build_unfinished(deadline: clock.Deadline) -> messages.Answer:
+    """Return the answer for a call that was given up at its deadline or as its caller went."""
     return _build_unknown(_TOO_LATE if deadline.is_past else _CANCELLED)
 
 
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -60,6 +60,7 @@
         self._max_non_critical = _compute_limit(threads, _NON_CRITICAL_SHARE)
         self._max_total = _compute_limit(threads, _TOTAL_SHARE)
         self._held = dict.fromkeys(Gate, 0)
+        """Threads in use, by class."""
         self._lock = threading.Lock()
 
     def try_acquire(self, gate: Gate) -> bool:
--- a/programs/oleanderdeal/oleanderdeal/key_ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -16,6 +16,7 @@
 from oleander_wire import messages
 
 Listener = collections.abc.Callable[[messages.Answer], None]
+"""Receives the answer of a key, once."""
 
 _MAX_LISTENERS_PER_KEY = 16
 """Requests that may wait for the answer of one running key; further ones get "unknown"."""
@@ -85,8 +86,10 @@
             collections.OrderedDict()
         )
         self._answers: collections.deque[_KeyEntry] = collections.deque()
+        """Entries whose answer is kept, the oldest first."""
         self._retained_bytes = 0
         self._evicted_offsets: dict[int, int] = {}
+        """Newest offset of an evicted claim, by shard; for tickets, the newest epoch."""
         self._ticket_epoch = 1
         self._tickets_in_epoch = 0
 
@@ -157,11 +160,13 @@
             listener(answer)
 
     def _may_start(self, run: messages.Run, entry: _KeyEntry | None) -> bool:
+        """Return whether an attempt may start: the key is new, or sealed at a lower attempt."""
         if entry is None:
             return not self._may_be_evicted(run)
         return entry.state is KeyState.SEALED and run.attempt > entry.attempt
 
     def _may_seal(self, join: messages.Join, entry: _KeyEntry | None) -> bool:
+        """Return whether an attempt is sealed: the key is new, or sealed at a lower attempt."""
         if entry is None:
             return not self._may_be_evicted(join)
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
@@ -228,6 +233,7 @@
             self._record_evicted(self._entries.pop(key_id))
 
     def _record_evicted(self, entry: _KeyEntry) -> None:
+        """Record an entry's claims as evicted; new tickets get an epoch above evicted ones."""
         for place in entry.positions:
             newest = self._evicted_offsets.get(place.shard, -1)
             self._evicted_offsets[place.shard] = max(newest, place.offset)
--- a/programs/oleanderdeal/oleanderdeal/lost_answers.py
+++ b/programs/oleanderdeal/oleanderdeal/lost_answers.py
@@ -4,6 +4,7 @@
 import threading
 
 _MAX_KEYS = 1000
+"""Above this the oldest key is evicted."""
 _REDIAL_SECONDS = 5.0
 """Within this time an entry that lost its link has reconnected and asked for the answer again."""
 
@@ -12,7 +13,7 @@
     """
     Keys whose answers could not be sent and may be asked for again; thread-safe.
 
-    Above the bound the oldest key is evicted. Only the shutdown of a sidecar reads this: without
+    Only the shutdown of a sidecar reads this: without
     the wait, callers would get "unknown" although the sidecar has their answers.
     """
 
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -78,10 +78,14 @@
         self._flush_lock = threading.Lock()
         self._sequence = 0
         self._unconfirmed: dict[int, dict[str, int]] = {}
+        """Counts by window and organisation whose append was not acknowledged yet."""
         self._fold = usage_fold.UsageFold()
         self._next_offset = 0
         self._decide_not_before = 0.0
+        """Until then no report is appended after a failed read, as processes may append counts
+        late."""
         self._next_window: int | None = None
+        """The next window to report; `None` while the lease is not held."""
 
     def flush_repeatedly(self) -> None:
         """Append the counts at intervals, until the group stops."""
@@ -220,6 +224,7 @@
         return not isinstance(outcome, platform.DutyUnknown)
 
     def _find_tenure(self) -> lease.Tenure | None:
+        """Return the lease's tenure, or `None` if too little of it is left for a call."""
         tenure = self._lease.find_tenure()
         if tenure is None or tenure.deadline.remaining < _MIN_TENURE_SECONDS:
             return None
