--- a/programs/oleanderdeal/oleanderdeal/lost_answers.py
+++ b/programs/oleanderdeal/oleanderdeal/lost_answers.py
@@ -4,6 +4,7 @@
 import threading
 
 _MAX_KEYS = 1000
+"""Above this the oldest key is evicted."""
 _REDIAL_SECONDS = 5.0
 """Within this time an entry that lost its link has reconnected and asked for the answer again."""
 
@@ -12,7 +13,7 @@
     """
     Keys whose answers could not be sent and may be asked for again; thread-safe.
 
-    Above the bound the oldest key is evicted. Only the shutdown of a sidecar reads this: without
+    Only the shutdown of a sidecar reads this: without
     the wait, callers would get "unknown" although the sidecar has their answers.
     """
 
@@ -36,5 +37,5 @@
     def is_any_awaited(self, now: float) -> bool:
         """Return whether an entry may still ask for an answer."""
         with self._lock:
-            newest = next(reversed(self._lost_at.values()), None)
-        return newest is not None and now - newest < _REDIAL_SECONDS
+            newest_lost_at = next(reversed(self._lost_at.values()), None)
+        return newest_lost_at is not None and now - newest_lost_at < _REDIAL_SECONDS
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -78,10 +78,14 @@
         self._flush_lock = threading.Lock()
         self._sequence = 0
         self._unconfirmed: dict[int, dict[str, int]] = {}
+        """Counts by window and organisation whose append was not acknowledged yet."""
         self._fold = usage_totals.UsageTotals()
         self._next_offset = 0
         self._decide_not_before = 0.0
+        """Until then no report is appended after a failed read, as processes may append counts
+        late."""
         self._next_window: int | None = None
+        """The next window to report; `None` while the lease is not held."""
 
     def flush_repeatedly(self) -> None:
         """Append the counts at intervals, until the group stops."""
@@ -168,14 +172,14 @@
         oldest window whose counts may still arrive: a process may have counted before there was a
         holder, and append its counts a moment later.
         """
-        now = clock.read_wall_ms() // self._settings.window_ms
-        unsettled = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
-        reported = self._fold.newest_reported_window
-        if reported is not None:
-            return max(now - usage_totals.MAX_WINDOWS, reported + 1 - _REPEATED_WINDOWS)
-        counted = self._fold.oldest_counted_window
-        oldest = unsettled if counted is None else min(unsettled, counted)
-        return max(now - usage_totals.MAX_WINDOWS, oldest)
+        current = clock.read_wall_ms() // self._settings.window_ms
+        first_not_due = (clock.read_wall_ms() - self._report_delay_ms) // self._settings.window_ms
+        newest_reported = self._fold.newest_reported_window
+        if newest_reported is not None:
+            return max(current - usage_totals.MAX_WINDOWS, newest_reported + 1 - _REPEATED_WINDOWS)
+        oldest_counted = self._fold.oldest_counted_window
+        oldest = first_not_due if oldest_counted is None else min(first_not_due, oldest_counted)
+        return max(current - usage_totals.MAX_WINDOWS, oldest)
 
     def _report_window(self, window: int) -> bool:
         """Report one window; return whether nothing is left to do for it."""
@@ -220,6 +224,7 @@
         return not isinstance(outcome, platform.DutyUnknown)
 
     def _find_tenure(self) -> lease.Tenure | None:
+        """Return the lease's tenure, or `None` if too little of it is left for a call."""
         tenure = self._lease.find_tenure()
         if tenure is None or tenure.deadline.remaining < _MIN_TENURE_SECONDS:
             return None
