--- a/features/configuration_parts.py
+++ b/features/configuration_deployment.py
@@ -17,8 +17,8 @@
 
 CUSTOMER = "matrix"
 PAUSE = signal.SIGSTOP
-GO_ON = signal.SIGCONT
-SECONDS = 20
+RESUME = signal.SIGCONT
+TIMEOUT_SECONDS = 20
 """How long a change may take before a scenario fails; far above what is measured."""
 RELAYS = tuple(
     f"log-{name}" for name in (*deployments.ENTRIES, *(host.name for host in deployments.DESKS))
@@ -28,11 +28,11 @@
 _STARTING = 503
 _PROBE_SECONDS = 2.0
 _WATCH_SECONDS = 0.02
-_BOAST_SECONDS = 0.2
-BOAST_OFFSET = 10_000
+_FALSE_HEARTBEAT_SECONDS = 0.2
+FALSE_OFFSET = 10_000
 
 
-class ChangingDeployment(deployments.SmallDeployment):
+class ConfigurationDeployment(deployments.SmallDeployment):
     """
     Publishes numbered contracts; number N has the one operation `change-N`.
 
@@ -45,7 +45,7 @@
         self.deployed.add_customer(CUSTOMER)
         self.number = 0
         self.offset = in_force.NO_OFFSET
-        self.watches = {}
+        self.seen_changes = {}
         self._is_watching = threading.Event()
         self._watchers = []
 
@@ -53,10 +53,10 @@
         """Do the same with several processes at once."""
         self._run_all((task, name) for name in names)
 
-    def put_change(self):
+    def append_change(self):
         """Append the next contract, based on the one in force, past every fault of the log."""
         self.number += 1
-        record = records.ContractRecord(create_terms(self.number), self.offset, "ann")
+        record = records.ContractRecord(create_contract(self.number), self.offset, "ann")
         self.offset = self.append(record.to_value())
 
     def append(self, *values):
@@ -64,7 +64,7 @@
         url = f"{self.cluster.url('log')}/streams/{records.STREAM}/records"
         return support.call("POST", url, {"records": values}).read_json()["first_offset"]
 
-    def fold_stream(self):
+    def apply_stream(self):
         """Fold what the log holds; return the fold, and each record with its verdict."""
         folded = fold.ConfigurationFold()
         judged = []
@@ -74,7 +74,7 @@
             judged.append((item, folded.apply(item["offset"], 0, value).ok))
         return folded, judged
 
-    def read_answer_of(self, entry, number):
+    def read_change_status(self, entry, number):
         """Return how an entry answers for one change: in force, missing, or the problem."""
         url = f"{self.cluster.url(entry)}/v1/customers/{CUSTOMER}/operations/change-{number}"
         headers = self.deployed.write_headers(CUSTOMER)
@@ -93,25 +93,25 @@
         except OSError:
             return -2
 
-    def await_everywhere(self, number, names):
+    def await_change(self, number, names):
         """Wait until the entries answer by a change alone, and sidecars have its record."""
         for name in names:
             support.wait_until(
                 lambda name=name: self.read_offset(name) >= self.offset,
                 f"{name} has applied {self.offset}, not only {self.read_offset(name)}",
-                SECONDS,
+                TIMEOUT_SECONDS,
             )
             if name in deployments.ENTRIES:
                 support.wait_until(
-                    lambda name=name: self.read_answer_of(name, number) == "in force",
+                    lambda name=name: self.read_change_status(name, number) == "in force",
                     f"{name} answers by change {number}",
-                    SECONDS,
+                    TIMEOUT_SECONDS,
                 )
-                assert self.read_answer_of(name, number - 1) == "missing", name
+                assert self.read_change_status(name, number - 1) == "missing", name
 
-    def watch(self):
+    def start_watching(self):
         """Keep asking the entries by which change they answer, until `stop_watching`."""
-        self.watches = {name: [] for name in deployments.ENTRIES}
+        self.seen_changes = {name: [] for name in deployments.ENTRIES}
         self._is_watching.set()
         self._watchers = [
             threading.Thread(target=self._watch_entry, args=(name, self.number), daemon=True)
@@ -126,9 +126,9 @@
         for thread in self._watchers:
             thread.join()
         self._watchers = []
-        return self.watches
+        return self.seen_changes
 
-    def make_whole(self):
+    def recover(self):
         """End every fault, and start again what was killed."""
         self.cluster.control(
             "log", outage="", slow_ms=0, lose_before=0, lose_after=0, late=0, retention=100_000
@@ -153,28 +153,28 @@
             stderr=subprocess.STDOUT,
             text=True,
         )
-        child.stdin.write(json.dumps(readers.write_document(create_terms(number))))
+        child.stdin.write(json.dumps(readers.write_document(create_contract(number))))
         child.stdin.close()
         return child
 
     def _watch_entry(self, name, first):
-        seen = self.watches[name]
+        seen = self.seen_changes[name]
         while self._is_watching.is_set():
             for number in range(first, self.number + 1):
-                answered = self._ask(name, number) == "in force"
+                answered = self._try_read_status(name, number) == "in force"
                 if answered and (not seen or seen[-1] != number):
                     seen.append(number)
             time.sleep(_WATCH_SECONDS)
 
-    def _ask(self, name, number):
+    def _try_read_status(self, name, number):
         try:
-            return self.read_answer_of(name, number)
+            return self.read_change_status(name, number)
         except (OSError, http.client.HTTPException, KeyError):
             # It is down, or about to be replaced.
             return "no answer"
 
 
-def create_terms(number):
+def create_contract(number):
     """Return the contract of a change."""
     operation = contract.Operation(
         f"change-{number}", "desk", contract.Priority.CRITICAL, False, 2000, 1, False
@@ -203,10 +203,10 @@
     raise OSError("no heartbeat")
 
 
-def serve_boast(opened):
+def serve_false_offset(opened):
     """Serve an entry's link as a sidecar that tells of newer records and sends none."""
     opened.receive(clock.start_deadline(_PROBE_SECONDS))
     opened.send(messages.Hello(messages.PROTOCOL, "boast", "boast", "a", ""))
-    beat = messages.Heartbeat("none", 0, 0, 1, 0, None, False, False, BOAST_OFFSET, 0)
+    beat = messages.Heartbeat("none", 0, 0, 1, 0, None, False, False, FALSE_OFFSET, 0)
     while opened.send(beat).is_ok():
-        opened.receive(clock.start_deadline(_BOAST_SECONDS))
+        opened.receive(clock.start_deadline(_FALSE_HEARTBEAT_SECONDS))
--- a/features/deployment_pool.py
+++ b/features/deployment_pool.py
@@ -17,34 +17,34 @@
     def __init__(self):
         self._starter = concurrent.futures.ThreadPoolExecutor(1)
         self._relays = ()
-        self._kept = []
+        self._available = []
 
     def take(self, relays):
         """Return a deployment with these relays whose faults are all over."""
         if self._relays != relays:
             self.stop()
         self._relays = relays
-        taken = self._kept.pop().result() if self._kept else _start_fresh(relays)
-        if not self._kept:
-            self._kept.append(self._starter.submit(_start_fresh, relays))
+        taken = self._available.pop().result() if self._available else _start_deployment(relays)
+        if not self._available:
+            self._available.append(self._starter.submit(_start_deployment, relays))
         return taken
 
     def give_back(self, deployment):
         """Keep a deployment for the next scenario, which must use other keys."""
         kept = concurrent.futures.Future()
         kept.set_result(deployment)
-        self._kept.append(kept)
+        self._available.append(kept)
 
     def stop(self):
         """End all that are kept."""
-        while self._kept:
-            self._kept.pop().result().cluster.stop()
+        while self._available:
+            self._available.pop().result().cluster.stop()
 
 
 POOL = DeploymentPool()
 
 
-def _start_fresh(relays):
+def _start_deployment(relays):
     started = deployments.SmallDeployment(support.Cluster(), relays)
     try:
         started.start()
--- a/features/deployments.py
+++ b/features/deployments.py
@@ -30,10 +30,10 @@
 )
 ENTRIES = ("entry-a", "entry-b")
 _RELAY_KINDS = ("link", "service", "log", "trainer")
-_NOWHERE = "127.0.0.1:1"
-_CALL_SECONDS = 40.0
-_MOST_TASKS = 16
-_READY_SECONDS = 20
+_UNUSED_ADDRESS = "127.0.0.1:1"
+_CALL_TIMEOUT_SECONDS = 40.0
+_MAX_THREADS = 16
+_READY_TIMEOUT_SECONDS = 20
 
 
 class SmallDeployment:
@@ -61,12 +61,12 @@
         self._entry_flags = entry_flags
         self.entries = entries
         self._contracts = contracts
-        self._pool = concurrent.futures.ThreadPoolExecutor(_MOST_TASKS)
+        self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_THREADS)
         self._calls = {}
-        self._counting = threading.Lock()
-        self._runs_of_ended = {}
-        self.is_whole = True
-        self.relays = {name: cluster.start_relay(name, _NOWHERE) for name in relays}
+        self._runs_lock = threading.Lock()
+        self._ended_process_runs = {}
+        self.is_reusable = True
+        self.relays = {name: cluster.start_relay(name, _UNUSED_ADDRESS) for name in relays}
         assert all(name.split("-")[0] in _RELAY_KINDS for name in relays), relays
 
     @property
@@ -90,7 +90,7 @@
         self._run_all((self.cluster.start_stand_in, *item) for item in platform)
         self._run_all((self.deployed.start_backend_server, name) for name in self.hosts)
         for name in self.hosts:
-            self._list_relay(name)
+            self._list_relayed_host(name)
         self._run_all(
             [(self._put_contracts, terms)]
             + [(self.start_sidecar, name) for name in self.hosts]
@@ -104,7 +104,7 @@
             support.wait_until(
                 lambda name=name: self._is_ready(name, offset),
                 f"{name} has {len(self.hosts)} peers and the configuration up to {offset}",
-                _READY_SECONDS,
+                _READY_TIMEOUT_SECONDS,
             )
 
     def await_peers(self, count):
@@ -137,8 +137,8 @@
         link = self.relays.get(f"link-{name}")
         self.deployed.start_sidecar(
             name,
-            backend_url=self._lead_to("service", name),
-            log_url=self._lead_to("log", name),
+            backend_url=self._route_through_relay("service", name),
+            log_url=self._route_through_relay("log", name),
             is_listed=link is None,
         )
         if link is not None:
@@ -146,7 +146,7 @@
 
     def start_entry(self, name):
         """Start an entry, or start it anew."""
-        log_url = self._lead_to("log", name)
+        log_url = self._route_through_relay("log", name)
         self.deployed.start_entry(name, name[6], *self._entry_flags, log_url=log_url)
         if f"trainer-{name}" in self.relays:
             self.relays[f"trainer-{name}"].target = self.cluster.address(name)
@@ -155,7 +155,7 @@
         """Start a backend server anew where it listened before."""
         host = self.find_host(name)
         port = self.cluster.address(name).rpartition(":")[2]
-        with self._counting:
+        with self._runs_lock:
             self.deployed.start_backend_server(host.name, int(port))
 
     def restart(self, name):
@@ -171,22 +171,22 @@
         """Return the host of a backend server."""
         return next(item for item in self.hosts.values() if item.server_name == server_name)
 
-    def find_service(self, name):
+    def is_service(self, name):
         """Return whether a name is that of a plain service."""
         return name in self.server_names and self.find_host(name).kind == "service"
 
     def kill(self, name):
         """End a process as a crash would; what a service counted until then is kept."""
-        self.is_whole = False
-        with self._counting:
-            if self.find_service(name):
+        self.is_reusable = False
+        with self._runs_lock:
+            if self.is_service(name):
                 for key, runs in self._read_runs(name).items():
-                    self._runs_of_ended[key] = self._runs_of_ended.get(key, 0) + runs
+                    self._ended_process_runs[key] = self._ended_process_runs.get(key, 0) + runs
             self.cluster.kill(name)
 
     def terminate(self, name):
         """Ask a process to stop; return its exit code."""
-        self.is_whole = False
+        self.is_reusable = False
         return self.cluster.terminate(name)
 
     def freeze(self, name):
@@ -197,11 +197,11 @@
 
     def count_runs(self, key):
         """Return how often all services together, the ended ones too, ran a key."""
-        services = [name for name in self.server_names if self.find_service(name)]
-        with self._counting:
+        services = [name for name in self.server_names if self.is_service(name)]
+        with self._runs_lock:
             alive = [name for name in services if self.cluster.find(name).code is None]
             now = sum(self._read_runs(name).get(key, 0) for name in alive)
-            return now + self._runs_of_ended.get(key, 0)
+            return now + self._ended_process_runs.get(key, 0)
 
     def is_ready(self, entry):
         """Return whether an entry's readiness check says that a balancer may send to it."""
@@ -234,7 +234,7 @@
 
     def call(self, entry, customer, operation, body, key="", timeout_ms=0):
         """Send a caller's request; return nothing where the connection was cut."""
-        arguments = (entry, customer, operation, body, key, timeout_ms, _CALL_SECONDS)
+        arguments = (entry, customer, operation, body, key, timeout_ms, _CALL_TIMEOUT_SECONDS)
         try:
             return self.deployed.call(*arguments)
         except (ConnectionError, http.client.HTTPException):
@@ -262,7 +262,7 @@
     def _read_runs(self, service):
         return self.cluster.read_control(service).get("runs_by_key", {})
 
-    def _lead_to(self, kind, user):
+    def _route_through_relay(self, kind, user):
         """Return the URL of the relay to what a process uses; empty where there is none."""
         found = self.relays.get(f"{kind}-{user}")
         if found is None:
@@ -271,7 +271,7 @@
         found.target = self.cluster.address(target)
         return found.url
 
-    def _list_relay(self, host):
+    def _list_relayed_host(self, host):
         """List a host whose sidecar is reached through a relay."""
         link = self.relays.get(f"link-{host}")
         if link is not None:
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -7,7 +7,7 @@
 
 import behave
 
-import configuration_parts
+import configuration_deployment
 import deployments
 import support
 from oleander_contracts import in_force, records
@@ -26,25 +26,25 @@
 }
 _EVERYONE = (*deployments.ENTRIES, *(host.name for host in deployments.DESKS))
 _COMMAND_SECONDS = 30
-_STARTING_ASKS = 20
-_ASK_SECONDS = 0.1
+_STARTING_CHECKS = 20
+_CHECK_INTERVAL_SECONDS = 0.1
 _NONE = "none"
-_HTTP_REFUSED = 503
+_HTTP_UNAVAILABLE = 503
 
 
-class _Shared:
+class _SharedDeployment:
     """One deployment for all scenarios that leave it whole; after a failure there is a new one."""
 
     parts = None
-    is_whole = False
+    is_reusable = False
 
 
 def _stop_shared():
-    if _Shared.parts is not None:
-        _Shared.parts.stop_watching()
-        _Shared.parts.cluster.stop()
-    _Shared.parts = None
-    _Shared.is_whole = False
+    if _SharedDeployment.parts is not None:
+        _SharedDeployment.parts.stop_watching()
+        _SharedDeployment.parts.cluster.stop()
+    _SharedDeployment.parts = None
+    _SharedDeployment.is_reusable = False
 
 
 def _split(names):
@@ -58,33 +58,35 @@
     parts.stop_watching()
 
 
-def _begin(context, parts):
+def _begin_scenario(context, parts):
     context.parts = parts
     context.base = parts.number
     context.add_cleanup(_end_scenario, context, parts)
-    parts.put_change()
-    parts.await_everywhere(parts.number, _EVERYONE)
-    parts.watch()
+    parts.append_change()
+    parts.await_change(parts.number, _EVERYONE)
+    parts.start_watching()
 
 
 @behave.given("the deployment of the configuration matrix")
-def take_shared(context):
-    if not _Shared.is_whole:
+def start_shared(context):
+    if not _SharedDeployment.is_reusable:
         _stop_shared()
         context.add_cleanup(_stop_shared, layer="feature")
-        _Shared.parts = configuration_parts.ChangingDeployment(support.Cluster())
-        _Shared.parts.start()
-    _Shared.is_whole = False
-    _begin(context, _Shared.parts)
+        _SharedDeployment.parts = configuration_deployment.ConfigurationDeployment(
+            support.Cluster()
+        )
+        _SharedDeployment.parts.start()
+    _SharedDeployment.is_reusable = False
+    _begin_scenario(context, _SharedDeployment.parts)
 
 
 @behave.given("a deployment of the configuration matrix with entries that have {flags}")
 def start_own(context, flags):
     cluster = support.get_cluster(context)
     given = () if flags == "no flags" else flags.split()
-    parts = configuration_parts.ChangingDeployment(cluster, given)
+    parts = configuration_deployment.ConfigurationDeployment(cluster, given)
     parts.start()
-    _begin(context, parts)
+    _begin_scenario(context, parts)
 
 
 @behave.step("in the configuration matrix the log {fault}")
@@ -99,13 +101,13 @@
 
 
 @behave.step("in the configuration matrix {names} are connected again")
-def connect(context, names):
+def heal(context, names):
     for name in _split(names):
         context.parts.relays[name].heal()
 
 
 @behave.step("in the configuration matrix {names} are {action}")
-def act(context, names, action):
+def act_on_processes(context, names, action):
     actions = {
         "killed": context.parts.kill,
         "frozen": context.parts.freeze,
@@ -116,24 +118,24 @@
 
 
 @behave.step("{count:d} changes are accepted in the configuration matrix")
-def put_changes(context, count):
+def append_changes(context, count):
     for _ in range(count):
-        context.parts.put_change()
+        context.parts.append_change()
 
 
 @behave.step("in the configuration matrix {names} have the newest change")
 def await_newest(context, names):
-    context.parts.await_everywhere(context.parts.number, _split(names))
+    context.parts.await_change(context.parts.number, _split(names))
 
 
 @behave.step("in the configuration matrix {names} still answer by the first change")
 def check_first(context, names):
     for name in _split(names):
-        assert context.parts.read_answer_of(name, context.base + 1) == "in force", name
+        assert context.parts.read_change_status(name, context.base + 1) == "in force", name
 
 
 @behave.step("in the configuration matrix {names} serve nothing and say so")
-def check_nothing(context, names):
+def check_starting(context, names):
     parts = context.parts
     for name in _split(names):
         support.wait_until(
@@ -142,25 +144,25 @@
         )
     # An entry that took its peers' silence for a configuration would do so a second after the
     # first of them was heard; so it is asked for longer than that.
-    for _ in range(_STARTING_ASKS):
+    for _ in range(_STARTING_CHECKS):
         for name in _split(names):
-            assert parts.read_answer_of(name, parts.number) == "starting", name
+            assert parts.read_change_status(name, parts.number) == "starting", name
             ready = support.call("GET", f"{parts.cluster.url(name)}/readyz")
-            assert ready.status == _HTTP_REFUSED, ready.body
-        time.sleep(_ASK_SECONDS)
+            assert ready.status == _HTTP_UNAVAILABLE, ready.body
+        time.sleep(_CHECK_INTERVAL_SECONDS)
 
 
 @behave.then("the configuration matrix is whole again, and nobody went back")
-def check_whole(context):
+def check_recovered(context):
     parts = context.parts
-    parts.make_whole()
-    parts.await_everywhere(parts.number, _EVERYONE)
+    parts.recover()
+    parts.await_change(parts.number, _EVERYONE)
     for name, seen in parts.stop_watching().items():
         assert seen == sorted(set(seen)), f"{name} answered by {seen}"
         assert not seen or seen[-1] <= parts.number, seen
-    folded, _ = parts.fold_stream()
-    assert folded.read_in_force(configuration_parts.CUSTOMER).offset == parts.offset
-    _Shared.is_whole = parts is _Shared.parts
+    folded, _ = parts.apply_stream()
+    assert folded.read_in_force(configuration_deployment.CUSTOMER).offset == parts.offset
+    _SharedDeployment.is_reusable = parts is _SharedDeployment.parts
 
 
 def _start_publish(context, by, wait_ms=8000):
@@ -176,10 +178,10 @@
     assert (code, told in output) == (status, True), (code, output)
 
 
-def _note_accepted(context, number):
+def _record_accepted_offset(context, number):
     """Take from the log where a change was accepted, which must be at one place only."""
     parts = context.parts
-    _, judged = parts.fold_stream()
+    _, judged = parts.apply_stream()
     found = [
         item["offset"]
         for item, verdict in judged
@@ -208,7 +210,7 @@
     output = child.stdout.read()
     assert child.wait(_COMMAND_SECONDS) == 0, output
     child.stdout.close()
-    _note_accepted(context, context.number)
+    _record_accepted_offset(context, context.number)
 
 
 @behave.when("ann starts to publish in the configuration matrix and is paused before her append")
@@ -219,7 +221,7 @@
         lambda: context.parts.cluster.read_control("log")["settings"]["lose_before"] < 10_000,
         "ann has read what is in force and tried to append",
     )
-    context.published.send_signal(configuration_parts.PAUSE)
+    context.published.send_signal(configuration_deployment.PAUSE)
     context.parts.cluster.control("log", lose_before=0)
 
 
@@ -229,20 +231,20 @@
     parts.number += 1
     child = parts.start_publish("bo", parts.number)
     _end_publish(context, child, 0, "accepted at offset")
-    _note_accepted(context, parts.number)
+    _record_accepted_offset(context, parts.number)
 
 
 @behave.then("ann goes on in the configuration matrix and ends {ending}")
-def publish_goes_on(context, ending):
+def resume_publish(context, ending):
     status, told = ending.split(" ", 1)
-    context.published.send_signal(configuration_parts.GO_ON)
+    context.published.send_signal(configuration_deployment.RESUME)
     _end_publish(context, context.published, int(status), told)
 
 
 @behave.then("ann's late change is void in the configuration matrix")
 def check_late(context):
     def find_late():
-        _, judged = context.parts.fold_stream()
+        _, judged = context.parts.apply_stream()
         return [
             verdict
             for item, verdict in judged
@@ -261,7 +263,7 @@
 
 @behave.when("a snapshot {fault} is written into the configuration matrix")
 def write_snapshot(context, fault):
-    folded, _ = context.parts.fold_stream()
+    folded, _ = context.parts.apply_stream()
     snapshot = folded.create_snapshot()
     if fault == "that lacks contracts":
         snapshot["contracts"] = []
@@ -287,7 +289,7 @@
 
 @behave.when("a writer of snapshots is paused in the configuration matrix")
 def pause_writer(context):
-    folded, _ = context.parts.fold_stream()
+    folded, _ = context.parts.apply_stream()
     context.old_snapshot = folded.create_snapshot()
 
 
@@ -299,7 +301,7 @@
 @behave.step("the log of the configuration matrix has a snapshot of the newest change")
 def await_snapshot(context):
     def has_snapshot():
-        folded, _ = context.parts.fold_stream()
+        folded, _ = context.parts.apply_stream()
         found = folded.snapshot_offset
         return found > context.parts.offset
 
@@ -307,7 +309,7 @@
 
 
 @behave.when("the log of the configuration matrix deletes the record of the newest change")
-def shorten(context):
+def delete_newest_record(context):
     parts = context.parts
     counts = parts.cluster.read_control("log")
     kept = counts["records"][records.STREAM] - parts.offset
@@ -350,8 +352,8 @@
 
 
 @behave.when("a sidecar joins the configuration matrix that tells of newer records and sends none")
-def join_boast(context):
-    served = link.LinkServer("127.0.0.1", 0, configuration_parts.serve_boast, 8)
+def join_false_offset_peer(context):
+    served = link.LinkServer("127.0.0.1", 0, configuration_deployment.serve_false_offset, 8)
     threading.Thread(target=served.serve, daemon=True).start()
     context.add_cleanup(served.stop)
     host = {"name": "boast", "address": f"127.0.0.1:{served.port}", "failure_domain": "a"}
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -24,7 +24,7 @@
     context.desks.hold(context.leaving, operation)
 
 
-def _tell(context, name):
+def _send_sigterm(context, name):
     context.deployment.cluster.find(name).send(signal.SIGTERM)
 
 
@@ -45,8 +45,8 @@
     return context.deployment.cluster.read_control("hosts")["reads"]
 
 
-def _leave_unheard(context, name, relay):
-    _tell(context, name)
+def _leave_behind_relay(context, name, relay):
+    _send_sigterm(context, name)
     support.wait_until(
         lambda: "draining" in context.deployment.cluster.find(name).read_log(), "it was told"
     )
@@ -56,16 +56,16 @@
 def _leave_cut_off(context, name):
     relay = context.deployment.relays[f"link-{name}"]
     relay.cut()
-    _leave_unheard(context, name, relay)
+    _leave_behind_relay(context, name, relay)
 
 
-def _leave_muted(context, name):
+def _leave_with_blocked_link(context, name):
     relay = context.deployment.relays[f"link-{name}"]
     relay.block("to_client")
-    _leave_unheard(context, name, relay)
+    _leave_behind_relay(context, name, relay)
 
 
-def _leave_by_lost_list(context, name):
+def _leave_before_list_outage(context, name):
     _list_leaving(context, name)
     context.deployment.await_usable(len(context.deployment.hosts) - 1)
     context.deployment.cluster.control("hosts", outage="refuse")
@@ -73,41 +73,41 @@
     context.deployment.await_entries()
 
 
-def _forget(context, name):
+def _remove_from_list(context, name):
     context.deployment.cluster.control("hosts", remove=name)
 
 
-def _tell_and_forget(context, name):
-    _tell(context, name)
-    _forget(context, name)
+def _stop_and_remove_from_list(context, name):
+    _send_sigterm(context, name)
+    _remove_from_list(context, name)
 
 
-_WAYS = {
-    "are told": _tell,
+_WAYS_TO_LEAVE = {
+    "are told": _send_sigterm,
     "are listed as leaving": _list_leaving,
     "are told as their links are cut": _leave_cut_off,
-    "are told while nothing from them arrives": _leave_muted,
-    "are listed, and then the list is down and their links drop": _leave_by_lost_list,
-    "are forgotten by the list": _forget,
-    "are told and forgotten by the list": _tell_and_forget,
+    "are told while nothing from them arrives": _leave_with_blocked_link,
+    "are listed, and then the list is down and their links drop": _leave_before_list_outage,
+    "are forgotten by the list": _remove_from_list,
+    "are told and forgotten by the list": _stop_and_remove_from_list,
 }
 
 
 @behave.when("the leaving desks {way}, the host list being {state}")
-def leave(context, way, state):
+def start_leaving(context, way, state):
     settings = {"emptied": {"set": []}, "up": {}}.get(state, {"outage": state})
     context.deployment.cluster.control("hosts", **settings)
-    context.runs = {name: context.desks.read(name)["runs"] for name in context.leaving}
+    context.runs = {name: context.desks.read_counts(name)["runs"] for name in context.leaving}
     for name in context.leaving:
-        _WAYS[way](context, name)
+        _WAYS_TO_LEAVE[way](context, name)
 
 
 @behave.then("{count:d} calls more are done, and none of them by a leaving desk")
 def check_no_new_work(context, count):
     left = len(context.deployment.hosts) - len(context.runs)
     context.deployment.await_usable(left)
-    context.desks.ask(count)
-    now = {name: context.desks.read(name)["runs"] for name in context.runs}
+    context.desks.make_calls(count)
+    now = {name: context.desks.read_counts(name)["runs"] for name in context.runs}
     assert now == context.runs, f"{context.runs} became {now}"
 
 
@@ -130,7 +130,7 @@
 
 
 @behave.when("the host list says that {names} leave")
-def list_all(context, names):
+def list_as_leaving(context, names):
     context.listed = context.deployment.cluster.read_control("hosts")["hosts"]
     for name in names.split():
         _list_leaving(context, name)
@@ -148,15 +148,15 @@
 
 @behave.then("{count:d} calls more are done")
 def check_calls(context, count):
-    context.desks.ask(count)
+    context.desks.make_calls(count)
 
 
 @behave.given(
     "{count:d} calls are held at the desks or wait for them, {name} being the one to leave"
 )
-def fill_desks(context, count, name):
+def fill_desk_slots(context, count, name):
     context.leaving = [name]
-    context.desks.fill(count)
+    context.desks.fill_slots(count)
 
 
 @behave.when("the held calls of the other desks are let go")
@@ -166,44 +166,42 @@
 
 
 @behave.then("{count:d} of the held calls are done before the leaving desks let go")
-def await_answered(context, count):
-    support.wait_until(
-        lambda: context.desks.count_answered() == count, f"{count} calls are answered"
-    )
+def await_ended_calls(context, count):
+    support.wait_until(lambda: context.desks.count_ended() == count, f"{count} calls are answered")
 
 
 @behave.then("the leaving desks began none since they were told")
-def check_none_begun(context):
-    now = {name: context.desks.read(name)["runs"] for name in context.runs}
+def check_no_runs_since(context):
+    now = {name: context.desks.read_counts(name)["runs"] for name in context.runs}
     assert now == context.runs, f"{context.runs} became {now}"
 
 
 @behave.then("a late request to the desk {name} is answered {answer}")
-def check_late(context, name, answer):
-    found = context.desks.ask_late(name)
+def check_late_request(context, name, answer):
+    found = context.desks.send_late_request(name)
     assert found == answer, found
 
 
 @behave.given("the charge late is claimed at entry-a, which is then frozen")
 def freeze_claimant(context):
-    context.claim = stops.AppendedClaim(context.deployment)
+    context.claim = stops.UnconfirmedClaim(context.deployment)
     context.claim.start()
     context.deployment.freeze("entry-a")
 
 
 @behave.when("the claimed desk is told to leave and {state}")
-def leave_claimed(context, state):
+def stop_claimed(context, state):
     context.claimed = context.claim.sidecar
-    stops.tell(context.deployment, context.claimed)
+    stops.request_stop(context.deployment, context.claimed)
     if state == "has ended":
         context.deployment.cluster.find(context.claimed).wait_exit()
-    context.runs = {context.claimed: context.desks.read(context.claimed)["runs"]}
+    context.runs = {context.claimed: context.desks.read_counts(context.claimed)["runs"]}
 
 
 @behave.when("entry-a goes on, and the desks let their calls go")
 def thaw_claimant(context):
     context.deployment.cluster.thaw("entry-a")
-    context.claim.let_go()
+    context.claim.release()
     for name in context.leaving:
         context.desks.release(name)
 
@@ -211,4 +209,4 @@
 @behave.then("the charge late is done, by the other desk")
 def check_claimed(context):
     context.claim.check()
-    check_none_begun(context)
+    check_no_runs_since(context)
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -200,6 +200,6 @@
     trial.let_late_work_arrive()
     found = trial.check_answers()
     assert found == runs, trial.describe()
-    if context.deployment.is_whole and not context.deployment.has_own_settings:
+    if context.deployment.is_reusable and not context.deployment.has_own_settings:
         deployment_pool.POOL.give_back(context.deployment)
         context.cluster = None
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -23,7 +23,7 @@
 }
 
 
-class StreamTrial:
+class StreamScenario:
     """Callers' generations at two engines, each on its own weight version."""
 
     def __init__(self, started):
@@ -31,20 +31,22 @@
         self.cluster = started.cluster
         self.readers = []
 
-    def ask(self, prompt, is_streamed=True):
+    def start_generation(self, prompt, is_streamed=True):
         """Start a caller's generation through the first entry."""
         url = f"{self.cluster.url('entry-a')}/v1/customers/{_CUSTOMER}/operations/draft"
         headers = self.deployment.deployed.write_headers(_CUSTOMER)
         self.readers.append(stream_reader.StreamReader(url, headers, prompt, _TOKENS, is_streamed))
 
-    def find_busy(self):
+    def find_busy_host(self):
         """Return the host whose engine is generating, once it has made some tokens."""
         return support.wait_until(
-            lambda: next((name for name in self.list_living() if self._is_midway(name)), None),
+            lambda: next(
+                (name for name in self.list_running_hosts() if self._is_midway(name)), None
+            ),
             "an engine is midway",
         )
 
-    def list_living(self):
+    def list_running_hosts(self):
         """Return the hosts whose engine and sidecar run."""
         find = self.cluster.find
         hosts = self.deployment.hosts
@@ -54,10 +56,10 @@
         counts = self.cluster.read_control(f"{host}-engine", "generations=no")
         return counts["running"] and counts["tokens"] >= 4 * _MIDWAY_LINES
 
-    def lose_two(self, host):
+    def kill_engine_and_next_sidecar(self, host):
         """End the engine, and then the sidecar where its generation goes on."""
         self.cluster.kill(f"{host}-engine")
-        self.deployment.kill(self.find_busy())
+        self.deployment.kill(self.find_busy_host())
 
     def hold_link(self, host):
         """Hold the link's answers until both callers wait for what is held, then pass them."""
@@ -94,7 +96,9 @@
     "its sidecar dies": lambda trial, host: trial.deployment.kill(host),
     "its sidecar is paused": lambda trial, host: trial.deployment.freeze(host),
     "its engine dies": lambda trial, host: trial.cluster.kill(f"{host}-engine"),
-    "its engine dies, and so does the next sidecar": lambda trial, host: trial.lose_two(host),
+    "its engine dies, and so does the next sidecar": lambda trial, host: (
+        trial.kill_engine_and_next_sidecar(host)
+    ),
     "the entry dies": lambda trial, host: trial.deployment.kill("entry-a"),
 }
 
@@ -105,49 +109,49 @@
     relays = [f"link-{host.name}" for host in hosts]
     started = deployments.SmallDeployment(support.get_cluster(context), relays, hosts)
     started.start()
-    context.stream = StreamTrial(started)
+    context.stream = StreamScenario(started)
 
 
 @behave.when("the streams of {callers} are midway and {fault}")
-def play(context, callers, fault):
+def run_streams(context, callers, fault):
     trial = context.stream
     for caller in callers.split(" and "):
-        trial.ask(caller)
+        trial.start_generation(caller)
     for reader in trial.readers:
         reader.await_lines(_MIDWAY_LINES)
-    _FAULTS[fault](trial, trial.find_busy())
+    _FAULTS[fault](trial, trial.find_busy_host())
 
 
 @behave.when("an answer in one piece to {caller} is midway and {fault}")
-def play_in_one_piece(context, caller, fault):
-    context.stream.ask(caller, is_streamed=False)
-    _FAULTS[fault](context.stream, context.stream.find_busy())
+def run_unstreamed(context, caller, fault):
+    context.stream.start_generation(caller, is_streamed=False)
+    _FAULTS[fault](context.stream, context.stream.find_busy_host())
 
 
 @behave.when("a stream of {caller} has ended, and the same engine cuts the next one short")
-def cut_short(context, caller):
+def cut_second_stream(context, caller):
     trial = context.stream
-    trial.ask(caller)
-    trial.readers[0].check_whole()
+    trial.start_generation(caller)
+    trial.readers[0].check_complete()
     versions = {"designs-a": 1, "designs-b": 2}
     host = next(name for name in versions if [versions[name]] == trial.readers[0].read_versions())
     trial.cluster.control(f"{host}-engine", cut=1)
     trial.readers.clear()
-    trial.ask(caller)
+    trial.start_generation(caller)
 
 
 @behave.then("each stream is its caller's own whole text, made by {count:d} engines")
-def check_whole(context, count):
+def check_complete(context, count):
     for reader in context.stream.readers:
-        reader.check_whole()
-        assert len(reader.read_versions()) == count, reader.last
+        reader.check_complete()
+        assert len(reader.read_versions()) == count, reader.last_line
 
 
 @behave.then("the stream has no last line, and what came is the beginning of its text")
-def check_cut(context):
+def check_truncated(context):
     reader = context.stream.readers[0]
     reader.await_end()
-    assert reader.last is None, reader.last
+    assert reader.last_line is None, reader.last_line
     whole = stream_reader.tokens.make_text(reader.prompt, 0, _TOKENS)
     came = stream_reader.tokens.remove_marks(reader.text)
     assert came and whole.startswith(came) and came != whole, reader.text
--- a/features/steps/walk_steps.py
+++ b/features/steps/walk_steps.py
@@ -102,16 +102,16 @@
 
 
 @behave.when('{count:d} bookings run while "{host}" is stopped')
-def book_and_stop(context, count, host):
+def book_during_stop(context, count, host):
     deployed = context.deployed
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
-        booked = [pool.submit(book, deployed, number) for number in range(count)]
+        booked = [pool.submit(make_booking, deployed, number) for number in range(count)]
         support.wait_until(lambda: sum(item.done() for item in booked) > count // 6, "traffic")
         context.exit_code = deployed.cluster.terminate(host, 30)
         context.booked = [item.result() for item in booked]
 
 
-def book(deployed, number):
+def make_booking(deployed, number):
     entry = deployed.entries[number % len(deployed.entries)]
     return deployed.call(entry, "catania", "booking", {"n": number}, f"walk-{number}")
 
--- a/features/steps/weight_changes_steps.py
+++ b/features/steps/weight_changes_steps.py
@@ -7,27 +7,27 @@
 import trainings
 import weight_changes
 
-_SERVER = weight_changes.SERVER
-_MOST_VERSIONS = 10
+_ENGINE = weight_changes.ENGINE_UNDER_TEST
+_VERSIONS_END = 10
 
 
 @behave.given("designs on an engine that {kind} and on a sound one")
 def start_engines(context, kind):
     deployment_steps.start_deployment(
         context,
-        f"{weight_changes.LINK}, {weight_changes.LOG_LINK}",
+        f"{weight_changes.ENGINE_RELAY}, {weight_changes.LOG_RELAY}",
         hosts=weight_changes.describe_hosts(kind),
         entries=("entry-a",),
     )
     context.deployment.await_usable(len(context.deployment.hosts))
     if "ignores numbers and states no" in kind:
-        support.wait_until(lambda: _has_served(context), "that engine serves")
+        support.wait_until(lambda: _has_finished_draft(context), "that engine serves")
     context.trainings = trainings.Trainings(context.deployment)
-    for version in range(2, _MOST_VERSIONS):
+    for version in range(2, _VERSIONS_END):
         context.trainings.store_weights(version)
 
 
-def _has_served(context):
+def _has_finished_draft(context):
     """Ask for a draft; such an engine first waits out the orders that came before its sidecar."""
     body = {"prompt": "warm up", "prefix": "", "max_tokens": 40, "stream": False}
     context.deployment.deployed.call("entry-a", "long", "draft", body)
@@ -48,8 +48,8 @@
 
 
 @behave.when("that engine's order for version {version:d} has come so far")
-def await_step(context, version):
-    context.weight_change.await_step(version)
+def await_stopped(context, version):
+    context.weight_change.await_stopped(version)
 
 
 @behave.then("trainer {name} has every sample of its step, truly labelled")
@@ -58,13 +58,13 @@
 
 
 @behave.when("that engine's later orders pass")
-def pass_later(context):
-    context.weight_change.pass_later()
+def pass_later_orders(context):
+    context.weight_change.pass_later_orders()
 
 
 @behave.when("that engine's order goes on")
 def release_order(context):
-    context.weight_change.release()
+    context.weight_change.release_order()
 
 
 def _kill(name):
@@ -83,8 +83,8 @@
     return act
 
 
-def _cut(deployed):
-    relay = deployed.relays[weight_changes.LINK]
+def _cut_engine_off(deployed):
+    relay = deployed.relays[weight_changes.ENGINE_RELAY]
     relay.cut()
     return relay.heal
 
@@ -95,26 +95,26 @@
 
 
 _FAULTS = {
-    "its sidecar is killed": _kill(weight_changes.UNDER_TEST),
-    "its sidecar is frozen": _freeze(weight_changes.UNDER_TEST),
-    "the engine is killed": _kill(_SERVER),
-    "the engine is cut off": _cut,
+    "its sidecar is killed": _kill(weight_changes.HOST_UNDER_TEST),
+    "its sidecar is frozen": _freeze(weight_changes.HOST_UNDER_TEST),
+    "the engine is killed": _kill(_ENGINE),
+    "the engine is cut off": _cut_engine_off,
     "the log hangs": _hang_log,
 }
 
 
 @behave.when("{fault} as that engine's weights change")
-def strike(context, fault):
-    context.mend = _FAULTS[fault](context.deployment)
+def inject_fault(context, fault):
+    context.repair_fault = _FAULTS[fault](context.deployment)
 
 
 @behave.when("the fault of that engine's weight change is mended")
-def mend(context):
-    context.mend()
+def repair_fault(context):
+    context.repair_fault()
 
 
 @behave.then("both engines run designs version {version:d} and take work")
-def check_newest(context, version):
+def check_engines_run(context, version):
     for name in context.deployment.server_names:
         support.wait_until(
             lambda name=name: (
--- a/features/steps/weight_doubts_steps.py
+++ b/features/steps/weight_doubts_steps.py
@@ -7,7 +7,7 @@
 import weight_changes
 from oleander_standins import tokens
 
-_SERVER = weight_changes.SERVER
+_ENGINE = weight_changes.ENGINE_UNDER_TEST
 _DRAFT_TOKENS = 16
 
 
@@ -15,7 +15,7 @@
     context.weight_change = weight_changes.WeightChange(context.deployment, step)
 
 
-_ENDS = {
+_LOAD_FAULTS = {
     "succeeds": {},
     "fails midway": {"fail_load": 1},
     "loses its answer": {"lose_load_answer": 1},
@@ -23,23 +23,23 @@
 
 
 @behave.given("that engine's next load {ends}")
-def set_end(context, ends):
+def set_load_outcome(context, ends):
     if ends == "is ordered too late":
         _stop_order(context, "ordered")
         return
     if "weight_change" not in context:
         _stop_order(context, "confirmed")
-    context.deployment.cluster.control(_SERVER, **_ENDS[ends])
+    context.deployment.cluster.control(_ENGINE, **_LOAD_FAULTS[ends])
 
 
 @behave.given("that engine's loads all fail midway")
-def fail_all(context):
+def fail_all_loads(context):
     _stop_order(context, "confirmed")
-    context.deployment.cluster.control(_SERVER, fail_load=1000)
+    context.deployment.cluster.control(_ENGINE, fail_load=1000)
 
 
 @behave.given("that engine's version can't be read")
-def hold_readings(context):
+def hold_version_requests(context):
     _stop_order(context, "unreadable")
 
 
@@ -50,17 +50,17 @@
 
 @behave.given("that engine takes {milliseconds:d} ms for a load")
 def slow_loads(context, milliseconds):
-    context.deployment.cluster.control(_SERVER, load_ms=milliseconds)
+    context.deployment.cluster.control(_ENGINE, load_ms=milliseconds)
 
 
 @behave.given("that engine's sidecar is cut off from the log")
 def cut_log(context):
-    context.deployment.relays[weight_changes.LOG_LINK].cut()
+    context.deployment.relays[weight_changes.LOG_RELAY].cut()
 
 
 @behave.given("that engine's generations pause after {count:d} tokens")
-def pause(context, count):
-    context.deployment.cluster.control(_SERVER, pause_after=count)
+def pause_generations(context, count):
+    context.deployment.cluster.control(_ENGINE, pause_after=count)
 
 
 @behave.when("callers ask for {count:d} drafts of designs")
@@ -94,12 +94,12 @@
 
 
 @behave.when("that engine's generations no longer pause")
-def stop_pausing(context):
-    context.deployment.cluster.control(_SERVER, pause_after=0)
+def resume_generations(context):
+    context.deployment.cluster.control(_ENGINE, pause_after=0)
 
 
 @behave.when("that engine has made a whole sample")
-def await_whole(context):
+def await_finished_generation(context):
     support.wait_until(
         lambda: any(
             item["outcome"] == "finished"
@@ -111,7 +111,7 @@
 
 @behave.when("that engine's load alone goes on")
 def release_load(context):
-    context.deployment.cluster.control(_SERVER, hold_load=False)
+    context.deployment.cluster.control(_ENGINE, hold_load=False)
 
 
 @behave.when("that engine's load for version {version:d} has ended with {status:d}")
@@ -128,7 +128,7 @@
 
 
 @behave.then("that engine's order for version {version:d} was {outcome}")
-def await_order(context, version, outcome):
+def await_order_outcome(context, version, outcome):
     support.wait_until(
         lambda: weight_changes.find_orders(context.deployment, version, outcome),
         f"an order for version {version} was {outcome}",
@@ -136,7 +136,7 @@
 
 
 @behave.then("orders to {count:d} engines for version {version:d} were {outcome}")
-def await_orders(context, count, version, outcome):
+def await_orders_outcome(context, count, version, outcome):
     names = list(context.deployment.hosts)
     support.wait_until(
         lambda: (
@@ -160,7 +160,7 @@
 
 
 @behave.then("the entries use one engine for designs")
-def await_one(context):
+def await_one_engine(context):
     context.deployment.await_usable(1)
     context.runs = weight_changes.read_counts(context.deployment)["runs"]
 
@@ -173,7 +173,7 @@
 
 
 @behave.then("that engine was ordered fewer than {count:d} loads")
-def check_skipped(context, count):
+def check_load_count(context, count):
     loads = weight_changes.read_counts(context.deployment)["loads"]
     assert len(loads) < count, loads
 
--- a/features/stops.py
+++ b/features/stops.py
@@ -33,10 +33,10 @@
 _VERSION = 1
 
 
-class Work(abc.ABC):
+class WorkInProgress(abc.ABC):
     """Work that is held in progress, and let go on after the stop."""
 
-    arrivals = ("charge", "look-up")
+    new_call_operations = ("charge", "look-up")
     """What callers can go on asking for."""
 
     def __init__(self, deployed):
@@ -53,7 +53,7 @@
         """Start it, and wait until it is held."""
 
     @abc.abstractmethod
-    def let_go(self):
+    def release(self):
         """Let it go on."""
 
     @abc.abstractmethod
@@ -65,7 +65,7 @@
             if host.kind == "engine":
                 self._cluster.control(host.server_name, **settings)
 
-    def _find_engine(self):
+    def _find_busy_host(self):
         for host in HOSTS:
             if host.kind == "engine":
                 counted = self._cluster.read_control(host.server_name)
@@ -75,10 +75,10 @@
         return ""
 
 
-class HeldCall(Work):
+class HeldCall(WorkInProgress):
     """A call that its desk has begun to run and does not answer."""
 
-    arrivals = ("draft",)
+    new_call_operations = ("draft",)
 
     def __init__(self, deployed, operation):
         super().__init__(deployed)
@@ -92,7 +92,7 @@
     def start(self):
         self._desks.hold([self.sidecar], self._operation)
 
-    def let_go(self):
+    def release(self):
         self._desks.release(self.sidecar)
 
     def check(self):
@@ -103,27 +103,27 @@
     """More calls than the desks have slots, so that some wait in the sidecars' queues."""
 
     def start(self):
-        self._desks.fill(16)
+        self._desks.fill_slots(16)
 
-    def let_go(self):
+    def release(self):
         for host in deployments.DESKS:
             self._desks.release(host.name)
 
 
-class StreamedDraft(Work):
+class StreamedDraft(WorkInProgress):
     """A draft that its caller reads as it is made."""
 
     @property
     def sidecar(self):
-        return self._find_engine()
+        return self._find_busy_host()
 
     def start(self):
         self._set_engines(pause_after=8)
         body = {"prompt": "a draft", "prefix": "", "max_tokens": _DRAFT_TOKENS, "stream": True}
         self._deployed.start_call("draft", ENTRY, "long", "draft", body)
-        support.wait_until(self._find_engine, "the draft is being made")
+        support.wait_until(self._find_busy_host, "the draft is being made")
 
-    def let_go(self):
+    def release(self):
         self._set_engines(pause_after=0)
 
     def check(self):
@@ -135,7 +135,7 @@
         assert tokens.remove_marks(text) == tokens.make_text("a draft", 0, _DRAFT_TOKENS)
 
 
-class Step(Work):
+class HalfCollectedStep(WorkInProgress):
     """A trainer that collects a step; half of its samples are stragglers, which are held."""
 
     def __init__(self, deployed, **flags):
@@ -145,7 +145,7 @@
 
     @property
     def sidecar(self):
-        return self._find_engine() or "designs-a"
+        return self._find_busy_host() or "designs-a"
 
     def start(self):
         self._set_engines(pause_after=20)
@@ -153,7 +153,7 @@
         self._trainings.start("stop", _VERSION, **(stragglers | self._flags))
         support.wait_until(self._is_half_collected, "half of the step is delivered")
 
-    def let_go(self):
+    def release(self):
         self._set_engines(pause_after=0)
 
     def check(self):
@@ -167,7 +167,7 @@
         return sum(counts[name] for name in counts if name.startswith("samples.delivered")) >= 4
 
 
-class WaitingPull(Step):
+class WaitingPull(HalfCollectedStep):
     """A trainer's pull that waits, as no engine takes work."""
 
     def start(self):
@@ -175,7 +175,7 @@
         self._trainings.start("stop", _VERSION, **{"wait-ms": 20_000})
         support.wait_until(self._has_refused, "samples are refused")
 
-    def let_go(self):
+    def release(self):
         self._set_engines(refuse=False)
 
     def _has_refused(self):
@@ -186,7 +186,7 @@
         )
 
 
-class AppendedClaim(Work):
+class UnconfirmedClaim(WorkInProgress):
     """A claim that stands in the log, while its entry does not know so yet."""
 
     def __init__(self, deployed):
@@ -202,7 +202,7 @@
         self._deployed.start_call("claimed", ENTRY, "long", "charge", {}, "claimed")
         support.wait_until(self._find_claimed, "the claim is in the log")
 
-    def let_go(self):
+    def release(self):
         self._relay.heal()
 
     def check(self):
@@ -219,7 +219,7 @@
         return ""
 
 
-class HungLog(Work):
+class HungLog(WorkInProgress):
     """Nothing, but that the log hangs."""
 
     @property
@@ -229,26 +229,26 @@
     def start(self):
         self._cluster.control("log", outage="hang")
 
-    def let_go(self):
+    def release(self):
         pass
 
     def check(self):
         self._cluster.control("log", outage="")
 
 
-WORKS = {
+WORK_TYPES = {
     "a charge runs": functools.partial(HeldCall, operation="charge"),
     "a look-up runs": functools.partial(HeldCall, operation="look-up"),
     "calls wait for a slot": functools.partial(WaitingCalls, operation="charge"),
     "a draft is streamed": StreamedDraft,
     "a pull waits": WaitingPull,
-    "a step is half collected": Step,
-    "a claim is being appended": AppendedClaim,
+    "a step is half collected": HalfCollectedStep,
+    "a claim is being appended": UnconfirmedClaim,
     "the log hangs": HungLog,
 }
 
 
-def tell(deployed, name):
+def request_stop(deployed, name):
     """Tell a process to stop, and wait until it has begun to."""
     deployed.cluster.find(name).send(signal.SIGTERM)
     process = deployed.cluster.find(name)
--- a/features/trainings.py
+++ b/features/trainings.py
@@ -7,14 +7,14 @@
 
 CUSTOMER = "catania"
 NAME = "designs"
-_STEP_SECONDS = 60
-_MOST_AT_ONCE = 4
-_DEFAULTS = {
+_STEP_TIMEOUT_SECONDS = 60
+_MAX_CONCURRENT = 4
+_DEFAULT_FLAGS = {
     "groups": 2,
     "samples": 4,
     "max-tokens": 16,
     "staleness-bound": 2,
-    "step-seconds": _STEP_SECONDS,
+    "step-seconds": _STEP_TIMEOUT_SECONDS,
 }
 
 
@@ -24,7 +24,7 @@
     def __init__(self, deployment):
         self._deployment = deployment
         self._steps = 0
-        self._pool = concurrent.futures.ThreadPoolExecutor(_MOST_AT_ONCE)
+        self._pool = concurrent.futures.ThreadPoolExecutor(_MAX_CONCURRENT)
         self._running = {}
 
     def store_weights(self, version):
@@ -42,14 +42,14 @@
             words += ["--entry", cluster.url(entry)]
         words += ["--publish-weights", "--checks-marks"]
         words += ["--version-start", version, "--first-step", self._steps]
-        for flag, value in (_DEFAULTS | flags).items():
+        for flag, value in (_DEFAULT_FLAGS | flags).items():
             words += [f"--{flag}", value]
         options = trainer.create_parser().parse_args([str(word) for word in words])
         self._running[name] = self._pool.submit(self._run, options)
 
     def finish(self, name):
         """Wait for a trainer's end; return its summary, which names no broken promise."""
-        code, lines = self._running[name].result(_STEP_SECONDS)
+        code, lines = self._running[name].result(_STEP_TIMEOUT_SECONDS)
         assert code == 0, f"trainer {name} ended with {code}: {lines}"
         return lines[-1]
 
--- a/features/weight_changes.py
+++ b/features/weight_changes.py
@@ -3,14 +3,14 @@
 import support
 from oleander_standins import deployment, relay
 
-UNDER_TEST = "designs-a"
-SERVER = f"{UNDER_TEST}-engine"
-LINK = f"service-{UNDER_TEST}"
-LOG_LINK = f"log-{UNDER_TEST}"
-_LOAD = "POST /v1/load"
-_QUICK = ("--token-ms", "3", "--prefill-ms", "0", "--load-ms", "20")
-_LOAD_TIMEOUT = ("--load_timeout_ms", "800")
-_ENGINES = {
+HOST_UNDER_TEST = "designs-a"
+ENGINE_UNDER_TEST = f"{HOST_UNDER_TEST}-engine"
+ENGINE_RELAY = f"service-{HOST_UNDER_TEST}"
+LOG_RELAY = f"log-{HOST_UNDER_TEST}"
+_LOAD_REQUEST = "POST /v1/load"
+_FAST_ENGINE_FLAGS = ("--token-ms", "3", "--prefill-ms", "0", "--load-ms", "20")
+_LOAD_TIMEOUT_FLAGS = ("--load_timeout_ms", "800")
+_ENGINE_KINDS = {
     "checks numbers": (True, ()),
     "ignores numbers": (False, ()),
     "states no version": (True, ("--no-states-version",)),
@@ -20,17 +20,17 @@
 
 def describe_hosts(kind, *flags):
     """Return an engine of a kind, which is to fail, and a sound one."""
-    checks_fencing, engine_flags = _ENGINES[kind]
+    checks_fencing, engine_flags = _ENGINE_KINDS[kind]
     return (
         deployment.BackendHost(
-            UNDER_TEST,
+            HOST_UNDER_TEST,
             "designs",
             "engine",
             "a",
             "designs",
             checks_fencing=checks_fencing,
-            engine_flags=(*_QUICK, *engine_flags),
-            sidecar_flags=(*_LOAD_TIMEOUT, *flags),
+            engine_flags=(*_FAST_ENGINE_FLAGS, *engine_flags),
+            sidecar_flags=(*_LOAD_TIMEOUT_FLAGS, *flags),
         ),
         deployment.BackendHost(
             "designs-b",
@@ -38,8 +38,8 @@
             "engine",
             "b",
             "designs",
-            engine_flags=_QUICK,
-            sidecar_flags=_LOAD_TIMEOUT,
+            engine_flags=_FAST_ENGINE_FLAGS,
+            sidecar_flags=_LOAD_TIMEOUT_FLAGS,
         ),
     )
 
@@ -50,15 +50,15 @@
     def __init__(self, deployed, step):
         self._deployed = deployed
         self._cluster = deployed.cluster
-        self._relay = deployed.relays[LINK]
+        self._relay = deployed.relays[ENGINE_RELAY]
         self._step = step
         match step:
             case "ordered":
-                self._relay.hold_requests(_LOAD, relay.TO_SERVER)
+                self._relay.hold_requests(_LOAD_REQUEST, relay.TO_SERVER)
             case "half loaded":
-                self._cluster.control(SERVER, hold_load=True)
+                self._cluster.control(ENGINE_UNDER_TEST, hold_load=True)
             case "loaded":
-                self._relay.hold_requests(_LOAD, relay.TO_CLIENT)
+                self._relay.hold_requests(_LOAD_REQUEST, relay.TO_CLIENT)
             case "unreadable":
                 self._relay.hold_requests("GET /v1/version", relay.TO_SERVER)
 
@@ -66,7 +66,7 @@
         """Hold what the engine answers to generations."""
         self._relay.hold_requests("POST /v1/generate", relay.TO_CLIENT)
 
-    def await_step(self, version):
+    def await_stopped(self, version):
         """Wait until the order to load a version has come to the step."""
         conditions = {
             "ordered": lambda: self._relay.count_held(relay.TO_SERVER),
@@ -76,27 +76,27 @@
         }
         support.wait_until(conditions[self._step], f"the order is {self._step}")
 
-    def pass_later(self):
+    def pass_later_orders(self):
         """Let later orders pass; the one that was stopped stays so where it was sent already."""
         self._relay.pass_requests()
 
-    def release(self):
+    def release_order(self):
         """Let everything go on."""
         self._relay.heal()
-        self._cluster.control(SERVER, hold_load=False, fail_load=0)
+        self._cluster.control(ENGINE_UNDER_TEST, hold_load=False, fail_load=0)
 
 
 def read_counts(deployed):
     """Return what the engine under test counted."""
-    return deployed.cluster.read_control(SERVER, "generations=no")
+    return deployed.cluster.read_control(ENGINE_UNDER_TEST, "generations=no")
 
 
 def read_generations(deployed):
     """Return what the engine under test knows of its generations."""
-    return deployed.cluster.read_control(SERVER)["generations"].values()
+    return deployed.cluster.read_control(ENGINE_UNDER_TEST)["generations"].values()
 
 
-def find_orders(deployed, version, outcome, host=UNDER_TEST):
+def find_orders(deployed, version, outcome, host=HOST_UNDER_TEST):
     """Return what the trail says of orders to an engine."""
     values = [record["value"] for record in deployed.read_stream("orders")]
     return [
