--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -158,7 +158,7 @@
             self.runner.start_items,
             self.runner.checkpoint_partials,
         ):
-            self.group.keep(task)
+            self.group.supervise(task)
 
     def _put_server(self, name, backend, models):
         self._known.update_server(
--- a/features/steps/batches_steps.py
+++ b/features/steps/batches_steps.py
@@ -286,7 +286,7 @@
 @behave.given("entry b follows the log and {what}")
 def follow_log(context, what):
     kept = context.shared.journals["b"]
-    context.shared.group.keep(kept.index.follow)
+    context.shared.group.supervise(kept.index.follow)
     context.add_cleanup(context.shared.group.stop)
     context.has_trainer = what == "has a trainer that waits"
     kept.index.expect_updates(not context.has_trainer)
--- a/features/steps/http_pool_steps.py
+++ b/features/steps/http_pool_steps.py
@@ -114,7 +114,7 @@
     pool = http_pool.ConnectionPool()
     context.connections = [unittest.mock.Mock() for _ in range(count)]
     for connection in context.connections:
-        pool.keep("127.0.0.1:1", connection, _IDLE_SECONDS)
+        pool.release("127.0.0.1:1", connection, _IDLE_SECONDS)
 
 
 @behave.then("{count:d} of them are closed at once")
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -68,7 +68,7 @@
     )
     context.add_cleanup(group.stop)
     began_at = time.monotonic()
-    group.keep(follower.follow)
+    group.supervise(follower.follow)
     _await_current(context.sink, began_at, 2.0)
 
 
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -33,8 +33,8 @@
         sink = crash_records.CrashSink(self.crashes)
         follower = keyed_follower.KeyedFollower(self.log, topic, sink, self.group, 0.01)
         self._guard = crash_guard.CrashGuard(known, self.crashes, writer)
-        self.group.keep(writer.write)
-        self.group.keep(follower.follow)
+        self.group.supervise(writer.write)
+        self.group.supervise(follower.follow)
         context.add_cleanup(self.stop)
 
     def stop(self):
--- a/features/steps/tasks_steps.py
+++ b/features/steps/tasks_steps.py
@@ -16,7 +16,7 @@
             raise ValueError("unexpected")
 
     context.group = tasks.TaskGroup("lasting", 1)
-    context.future = context.group.keep(fail_at_first)
+    context.future = context.group.supervise(fail_at_first)
 
 
 @behave.when("the task group has run it to its end")
--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -111,7 +111,7 @@
         load = engine.EngineLoad(
             answer.take_count("running"), answer.take_count("waiting"), answer.take_count("slots")
         )
-        if not answer.is_sound:
+        if not answer.is_valid:
             return _fail(f"malformed answer: {answer.found}")
         return expression.Ok(load)
 
@@ -191,7 +191,7 @@
     version = engine.EngineVersion(
         answer.take_optional_count("version"), answer.take_flag("loading")
     )
-    if not answer.is_sound:
+    if not answer.is_valid:
         return _fail(f"malformed answer: {answer.found}")
     return expression.Ok(version)
 
@@ -204,6 +204,6 @@
         content.take_optional_count("version"),
         content.take_flag("last"),
     )
-    if not content.is_sound:
+    if not content.is_valid:
         return _fail(f"malformed stream: {content.found}")
     return expression.Ok(chunk)
--- a/libs/base/oleander_base/clock.py
+++ b/libs/base/oleander_base/clock.py
@@ -45,7 +45,7 @@
         """Whether no time is left."""
         return read_now() >= self.expires_at
 
-    def earlier(self, seconds: float) -> "Deadline":
+    def cap(self, seconds: float) -> "Deadline":
         """Return the sooner of this deadline and one that many seconds from now."""
         return Deadline(min(self.expires_at, read_now() + seconds))
 
--- a/libs/base/oleander_base/exposition.py
+++ b/libs/base/oleander_base/exposition.py
@@ -10,7 +10,7 @@
 _PREFIX = "oleanderdeal_"
 
 
-def write_metrics() -> bytes:
+def render_metrics() -> bytes:
     """
     Return all counters, gauges and histograms of this process.
 
@@ -34,20 +34,26 @@
 
         meanings = {item.name: item.meaning for item in metrics.list_metrics()}
         for name, count in sorted(metrics.read_counts().items()):
-            counter = metrics_core.CounterMetricFamily(_rename(name), meanings.get(name, name))
+            counter = metrics_core.CounterMetricFamily(
+                _format_name(name), meanings.get(name, name)
+            )
             counter.add_metric([], count)
             yield counter
         for name, value in sorted(metrics.read_gauges().items()):
-            gauge = metrics_core.GaugeMetricFamily(_rename(name), meanings.get(name, name))
+            gauge = metrics_core.GaugeMetricFamily(_format_name(name), meanings.get(name, name))
             gauge.add_metric([], value)
             yield gauge
         for name, histogram in sorted(metrics.read_histograms().items()):
-            family = metrics_core.HistogramMetricFamily(_rename(name), meanings.get(name, name))
+            family = metrics_core.HistogramMetricFamily(
+                _format_name(name), meanings.get(name, name)
+            )
             bounds = [*map(str, metrics.BUCKETS_MS), "+Inf"]
-            reached = itertools.accumulate(histogram.counts)
-            family.add_metric([], list(zip(bounds, reached, strict=True)), histogram.total_ms)
+            cumulative_counts = itertools.accumulate(histogram.counts)
+            family.add_metric(
+                [], list(zip(bounds, cumulative_counts, strict=True)), histogram.total_ms
+            )
             yield family
 
 
-def _rename(name: str) -> str:
+def _format_name(name: str) -> str:
     return _PREFIX + "".join(letter if letter.isalnum() else "_" for letter in name)
--- a/libs/base/oleander_base/http_connection.py
+++ b/libs/base/oleander_base/http_connection.py
@@ -8,11 +8,11 @@
 
 from oleander_base import clock
 
-_TICK_SECONDS = 0.1
+_CANCELLATION_POLL_SECONDS = 0.1
 """How often a waiting reader looks whether it was cancelled."""
 
 
-def _never() -> bool:
+def _never_cancelled() -> bool:
     return False
 
 
@@ -29,12 +29,12 @@
     """
 
     deadline = clock.Deadline(0.0)
-    is_cancelled: collections.abc.Callable[[], bool] = staticmethod(_never)
+    is_cancelled: collections.abc.Callable[[], bool] = staticmethod(_never_cancelled)
 
     def recv_into(self, buffer: typing.Any, nbytes: int = 0, flags: int = 0) -> int:
         """Receive, waiting until the deadline at most; looks now and then for a cancellation."""
         while True:
-            self.settimeout(min(_TICK_SECONDS, _read_remaining(self.deadline)))
+            self.settimeout(min(_CANCELLATION_POLL_SECONDS, _read_remaining(self.deadline)))
             try:
                 return super().recv_into(buffer, nbytes, flags)
             except TimeoutError:
@@ -53,7 +53,7 @@
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port)
         self._deadline = clock.Deadline(0.0)
-        self._is_cancelled: collections.abc.Callable[[], bool] = _never
+        self._is_cancelled: collections.abc.Callable[[], bool] = _never_cancelled
 
     @property
     def is_open(self) -> bool:
@@ -61,7 +61,7 @@
         return self.sock is not None
 
     @property
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """
         Whether nothing has arrived on an idle connection.
 
@@ -74,15 +74,15 @@
         poll.register(self.sock, select.POLLIN)
         return not poll.poll(0)
 
-    def limit(
+    def set_deadline(
         self,
         deadline: clock.Deadline,
-        is_cancelled: collections.abc.Callable[[], bool] = _never,
+        is_cancelled: collections.abc.Callable[[], bool] = _never_cancelled,
     ) -> None:
         """Set the deadline of the next request, and what tells that nobody wants its answer."""
         self._deadline = deadline
         self._is_cancelled = is_cancelled
-        self._limit_socket()
+        self._apply_deadline()
 
     def connect(self) -> None:
         """Open the connection."""
@@ -90,9 +90,9 @@
         plain = socket.create_connection((self.host, self.port), remaining)
         plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = _DeadlineSocket(fileno=plain.detach())
-        self._limit_socket()
+        self._apply_deadline()
 
-    def _limit_socket(self) -> None:
+    def _apply_deadline(self) -> None:
         if isinstance(self.sock, _DeadlineSocket):
             self.sock.deadline = self._deadline
             self.sock.is_cancelled = self._is_cancelled
--- a/libs/base/oleander_base/http_exchange.py
+++ b/libs/base/oleander_base/http_exchange.py
@@ -13,10 +13,10 @@
 
 from oleander_base import clock, http_connection
 
-MOST_BODY_BYTES = 16 * 1024 * 1024
-MOST_LINE_BYTES = 1024 * 1024
-_MOST_RETRY_AFTER_SECONDS = 3600
-PIECE_BYTES = 64 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_LINE_BYTES = 1024 * 1024
+_MAX_RETRY_AFTER_SECONDS = 3600
+CHUNK_BYTES = 64 * 1024
 _FAILURES = (OSError, http.client.HTTPException, ValueError)
 
 
@@ -87,12 +87,12 @@
         seconds = self._response.getheader("Retry-After") or ""
         if not (seconds.isascii() and seconds.isdigit()):
             return 0
-        return min(int(seconds[:6]), _MOST_RETRY_AFTER_SECONDS) * 1000
+        return min(int(seconds[:6]), _MAX_RETRY_AFTER_SECONDS) * 1000
 
     def read_line(self) -> expression.Result[bytes, ExchangeError]:
         """Return the next line with its end, or nothing at the end of the answer."""
         try:
-            line = self._response.readline(MOST_LINE_BYTES)
+            line = self._response.readline(MAX_LINE_BYTES)
         except _FAILURES as error:
             return expression.Error(self._describe(error))
         if line and not line.endswith(b"\n"):
@@ -102,11 +102,11 @@
     def read_body(self) -> expression.Result[Answer, ExchangeError]:
         """Return the whole answer; one that ends before its stated length is an error."""
         try:
-            return expression.Ok(self.receive_whole())
+            return expression.Ok(self.receive_answer())
         except _FAILURES as error:
             return expression.Error(self._describe(error))
 
-    def receive_whole(self) -> Answer:
+    def receive_answer(self) -> Answer:
         """Return the whole answer and leave the connection as it is; raises on failure."""
         body = _receive_body(self._response)
         self._response.close()
@@ -131,10 +131,10 @@
 
 def _receive_body(response: http.client.HTTPResponse) -> bytes:
     body = bytearray()
-    while piece := response.read1(PIECE_BYTES):
-        body += piece
-        if len(body) > MOST_BODY_BYTES:
-            raise ValueError(f"the answer is larger than {MOST_BODY_BYTES} bytes")
+    while chunk := response.read1(CHUNK_BYTES):
+        body += chunk
+        if len(body) > MAX_BODY_BYTES:
+            raise ValueError(f"the answer is larger than {MAX_BODY_BYTES} bytes")
     if response.length:
         raise http.client.IncompleteRead(b"", response.length)
     if response.length is None and not response.chunked:
@@ -163,7 +163,7 @@
             raise ValueError(f"{base_url!r} is no URL like http://IP:port")
         self._host = parts.hostname
         self._port = parts.port or http.client.HTTP_PORT
-        self._kept = threading.local()
+        self._idle = threading.local()
 
     def open_stream(
         self, request: Request, deadline: clock.Deadline
@@ -204,23 +204,23 @@
     ) -> expression.Result[Answer, ExchangeError]:
         """Send a request on a kept connection; where the peer had closed it, on a new one."""
         connection = self._take_connection()
-        was_kept = connection.is_open
-        if was_kept:
-            kept = _attempt(connection, request, deadline)
-            if kept.is_ok() or not isinstance(kept.error, ConnectionError):
-                return kept.map_error(describe_failure)
+        was_idle = connection.is_open
+        if was_idle:
+            reused = _exchange(connection, request, deadline)
+            if reused.is_ok() or not isinstance(reused.error, ConnectionError):
+                return reused.map_error(describe_failure)
         opened = _open(connection, deadline)
         if opened.is_error():
-            reach = Reach.MAY_HAVE_ARRIVED if was_kept else opened.error.reach
+            reach = Reach.MAY_HAVE_ARRIVED if was_idle else opened.error.reach
             return expression.Error(dataclasses.replace(opened.error, reach=reach))
-        return _attempt(connection, request, deadline).map_error(describe_failure)
+        return _exchange(connection, request, deadline).map_error(describe_failure)
 
     def _take_connection(self) -> http_connection.Connection:
-        connection: http_connection.Connection | None = getattr(self._kept, "connection", None)
+        connection: http_connection.Connection | None = getattr(self._idle, "connection", None)
         if connection is None:
             connection = http_connection.Connection(self._host, self._port)
-            self._kept.connection = connection
-        if connection.is_open and not connection.is_quiet:
+            self._idle.connection = connection
+        if connection.is_open and not connection.is_reusable:
             connection.close()
         return connection
 
@@ -228,7 +228,7 @@
 def _open(
     connection: http_connection.Connection, deadline: clock.Deadline
 ) -> expression.Result[None, ExchangeError]:
-    connection.limit(deadline)
+    connection.set_deadline(deadline)
     try:
         connection.connect()
     except ConnectionRefusedError as error:
@@ -238,12 +238,12 @@
     return expression.Ok(None)
 
 
-def _attempt(
+def _exchange(
     connection: http_connection.Connection, request: Request, deadline: clock.Deadline
 ) -> expression.Result[Answer, Exception]:
-    connection.limit(deadline)
+    connection.set_deadline(deadline)
     try:
-        return expression.Ok(AnswerStream(connection, request).receive_whole())
+        return expression.Ok(AnswerStream(connection, request).receive_answer())
     except _FAILURES as error:
         connection.close()
         return expression.Error(error)
--- a/libs/base/oleander_base/http_pool.py
+++ b/libs/base/oleander_base/http_pool.py
@@ -9,21 +9,23 @@
 
 from oleander_base import clock, http_connection, http_exchange
 
-MOST_BODY_BYTES = http_exchange.MOST_BODY_BYTES
-_MOST_ADDRESSES = 4096
-_MOST_IDLE = 36
+MAX_BODY_BYTES = http_exchange.MAX_BODY_BYTES
+_MAX_ADDRESSES = 4096
+_MAX_IDLE_PER_ADDRESS = 36
 """Idle connections kept for each address: what a runner may have in flight at one server, so that
 the connections of a step are there for the next."""
-_MOST_IDLE_SECONDS = 20.0
+_DEFAULT_IDLE_SECONDS = 20.0
 """Used where a server does not state its own idle timeout."""
 _CONNECT_SECONDS = 0.7
 """A connection opens within some round trips or, if its opening packet was dropped, a second."""
 _PROBE_SECONDS = 0.1
 """A process that has ended refuses a connection within a round trip."""
 _FAILURES = (OSError, http.client.HTTPException, ValueError)
-_BROKEN_OFF = (ConnectionError, http.client.IncompleteRead)
+_PEER_CLOSED_ERRORS = (ConnectionError, http.client.IncompleteRead)
 """Failures by which the peer, not a timeout, ended an exchange."""
-_HOP_HEADERS = frozenset({"connection", "keep-alive", "transfer-encoding", "content-length"})
+_HOP_BY_HOP_HEADERS = frozenset(
+    {"connection", "keep-alive", "transfer-encoding", "content-length"}
+)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -71,12 +73,12 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._idle: dict[str, list[_Idle]] = {}
-        self._opened = 0
+        self._opened_count = 0
 
     @property
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         """How many connections were opened."""
-        return self._opened
+        return self._opened_count
 
     def open(
         self,
@@ -85,16 +87,18 @@
         is_cancelled: collections.abc.Callable[[], bool],
     ) -> expression.Result["PooledAnswer", http_exchange.ExchangeError]:
         """Send a request and return its answer once the head is there."""
-        kept = self._take(request.address) if request.may_reuse else None
-        if kept is not None:
-            answered = self._send(kept, request, deadline, is_cancelled)
-            if answered.is_ok() or not _is_stale(answered.error) or is_cancelled():
-                return answered.map_error(lambda error: self.describe_loss(request.address, error))
+        reused = self._take_idle(request.address) if request.may_reuse else None
+        if reused is not None:
+            answered = self._send(reused, request, deadline, is_cancelled)
+            if answered.is_ok() or not _is_stale_connection(answered.error) or is_cancelled():
+                return answered.map_error(
+                    lambda error: self.describe_error(request.address, error)
+                )
         opened = self._connect(request.address, deadline)
         if opened.is_error():
-            return expression.Error(_join_failures(kept, opened.error))
+            return expression.Error(_merge_failures(reused, opened.error))
         return self._send(opened.ok, request, deadline, is_cancelled).map_error(
-            lambda error: self.describe_loss(request.address, error)
+            lambda error: self.describe_error(request.address, error)
         )
 
     def call(
@@ -109,45 +113,47 @@
             return expression.Error(opened.error)
         return opened.ok.read_whole()
 
-    def keep(self, address: str, connection: http_connection.Connection, seconds: float) -> None:
+    def release(
+        self, address: str, connection: http_connection.Connection, seconds: float
+    ) -> None:
         """Take back a connection whose answer was read to its end."""
         with self._lock:
             idle = self._idle.setdefault(address, [])
-            if len(idle) < _MOST_IDLE and len(self._idle) <= _MOST_ADDRESSES:
+            if len(idle) < _MAX_IDLE_PER_ADDRESS and len(self._idle) <= _MAX_ADDRESSES:
                 idle.append(_Idle(connection, clock.read_now() + seconds))
                 return
         connection.close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to a server that is gone."""
         with self._lock:
             idle = self._idle.pop(address, [])
         for item in idle:
             item.connection.close()
 
-    def describe_loss(self, address: str, error: Exception) -> http_exchange.ExchangeError:
+    def describe_error(self, address: str, error: Exception) -> http_exchange.ExchangeError:
         """Return a failure as a value; where the peer broke off, with whether it has ended."""
         described = http_exchange.describe_failure(error)
-        if not isinstance(error, _BROKEN_OFF):
+        if not isinstance(error, _PEER_CLOSED_ERRORS):
             return described
-        return dataclasses.replace(described, peer_ended=self._has_ended(address))
+        return dataclasses.replace(described, peer_ended=self._is_connection_refused(address))
 
-    def _has_ended(self, address: str) -> bool:
+    def _is_connection_refused(self, address: str) -> bool:
         """Tell whether nothing listens at an address; a connection that opens is kept."""
         opened = self._connect(address, clock.start_deadline(_PROBE_SECONDS))
         if opened.is_error():
             return opened.error.reach is http_exchange.Reach.REFUSED
-        self.keep(address, opened.ok, _MOST_IDLE_SECONDS)
+        self.release(address, opened.ok, _DEFAULT_IDLE_SECONDS)
         return False
 
-    def _take(self, address: str) -> http_connection.Connection | None:
+    def _take_idle(self, address: str) -> http_connection.Connection | None:
         while True:
             with self._lock:
                 idle = self._idle.get(address)
                 if not idle:
                     return None
                 item = idle.pop()
-            if item.expires_at > clock.read_now() and item.connection.is_quiet:
+            if item.expires_at > clock.read_now() and item.connection.is_reusable:
                 return item.connection
             item.connection.close()
 
@@ -156,7 +162,7 @@
     ) -> expression.Result[http_connection.Connection, http_exchange.ExchangeError]:
         host, _, port = address.rpartition(":")
         connection = http_connection.Connection(host, int(port))
-        connection.limit(deadline.earlier(_CONNECT_SECONDS))
+        connection.set_deadline(deadline.cap(_CONNECT_SECONDS))
         try:
             connection.connect()
         except ConnectionRefusedError as error:
@@ -166,7 +172,7 @@
             reach = http_exchange.Reach.NOT_CONNECTED
             return expression.Error(http_exchange.ExchangeError(str(error), reach))
         with self._lock:
-            self._opened += 1
+            self._opened_count += 1
         return expression.Ok(connection)
 
     def _send(
@@ -176,7 +182,7 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
     ) -> expression.Result["PooledAnswer", Exception]:
-        connection.limit(deadline, is_cancelled)
+        connection.set_deadline(deadline, is_cancelled)
         try:
             connection.putrequest(
                 request.method, request.target, skip_host=True, skip_accept_encoding=True
@@ -208,9 +214,9 @@
         self._connection = connection
         self._response = response
         self._headers = tuple(response.getheaders())
-        self._keep_seconds = _read_keep_seconds(response)
+        self._idle_seconds = _read_idle_seconds(response)
         self._is_framed = response.chunked or response.length is not None
-        self._unread = b""
+        self._buffer = b""
 
     @property
     def status(self) -> int:
@@ -220,7 +226,7 @@
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
         """The headers that concern the request rather than the connection."""
-        return tuple(item for item in self._headers if item[0].lower() not in _HOP_HEADERS)
+        return tuple(item for item in self._headers if item[0].lower() not in _HOP_BY_HOP_HEADERS)
 
     def find_header(self, name: str) -> str:
         """Return a header, or an empty text."""
@@ -229,28 +235,28 @@
     def read_line(self) -> expression.Result[bytes, http_exchange.ExchangeError]:
         """Return the next line with its end, or nothing at the end of a whole answer."""
         try:
-            while b"\n" not in self._unread:
-                piece = self._read_piece()
-                if not piece:
-                    if self._unread:
+            while b"\n" not in self._buffer:
+                chunk = self._read_chunk()
+                if not chunk:
+                    if self._buffer:
                         raise ValueError("the last line was cut")
                     self._finish()
                     return expression.Ok(b"")
-                self._unread += piece
+                self._buffer += chunk
         except _FAILURES as error:
             self.close()
             return expression.Error(self._describe(error))
-        line, end, self._unread = self._unread.partition(b"\n")
+        line, end, self._buffer = self._buffer.partition(b"\n")
         return expression.Ok(line + end)
 
     def read_whole(self) -> expression.Result[WholeAnswer, http_exchange.ExchangeError]:
         """Return the whole answer; one that is cut is an error."""
         body = bytearray()
         try:
-            while piece := self._read_piece():
-                body += piece
-                if len(body) > MOST_BODY_BYTES:
-                    raise ValueError(f"the answer is larger than {MOST_BODY_BYTES} bytes")
+            while chunk := self._read_chunk():
+                body += chunk
+                if len(body) > MAX_BODY_BYTES:
+                    raise ValueError(f"the answer is larger than {MAX_BODY_BYTES} bytes")
         except _FAILURES as error:
             self.close()
             return expression.Error(self._describe(error))
@@ -263,7 +269,7 @@
         self._response.close()
         self._connection.close()
 
-    def _read_piece(self) -> bytes:
+    def _read_chunk(self) -> bytes:
         """
         Return what has arrived of the body, or nothing at its end; raises where it was cut.
 
@@ -271,18 +277,18 @@
         `peek` swallow the error, and a stream that was cut would pass for whole. A body of a
         stated length ends without an error, so what is left of it is looked at.
         """
-        piece = self._response.read1(http_exchange.PIECE_BYTES)
-        if not piece and self._response.length:
+        chunk = self._response.read1(http_exchange.CHUNK_BYTES)
+        if not chunk and self._response.length:
             raise http.client.IncompleteRead(b"", self._response.length)
-        return piece
+        return chunk
 
     def _describe(self, error: Exception) -> http_exchange.ExchangeError:
-        return self._pool.describe_loss(self._address, error)
+        return self._pool.describe_error(self._address, error)
 
     def _finish(self) -> None:
-        if self._is_framed and self._keep_seconds > 0.0 and self._connection.is_open:
+        if self._is_framed and self._idle_seconds > 0.0 and self._connection.is_open:
             self._response.close()
-            self._pool.keep(self._address, self._connection, self._keep_seconds)
+            self._pool.release(self._address, self._connection, self._idle_seconds)
         else:
             self.close()
 
@@ -292,7 +298,7 @@
     return next((value for key, value in headers if key.lower() == lower), "")
 
 
-def _read_keep_seconds(response: http.client.HTTPResponse) -> float:
+def _read_idle_seconds(response: http.client.HTTPResponse) -> float:
     """Return how long the connection may idle: half a second less than the server says."""
     if response.will_close:
         return 0.0
@@ -301,20 +307,20 @@
         name, _, value = part.partition("=")
         if name.lower() == "timeout" and value.isascii() and value.isdigit():
             return max(0.0, int(value[:4]) - 0.5)
-    return _MOST_IDLE_SECONDS
+    return _DEFAULT_IDLE_SECONDS
 
 
-def _join_failures(
-    kept: http_connection.Connection | None, error: http_exchange.ExchangeError
+def _merge_failures(
+    reused: http_connection.Connection | None, error: http_exchange.ExchangeError
 ) -> http_exchange.ExchangeError:
     """Return why no second connection opened, and that the first may have carried the request."""
-    if kept is None:
+    if reused is None:
         return error
     has_ended = error.reach is http_exchange.Reach.REFUSED
     reach = http_exchange.Reach.MAY_HAVE_ARRIVED
     return dataclasses.replace(error, reach=reach, peer_ended=has_ended)
 
 
-def _is_stale(error: Exception) -> bool:
+def _is_stale_connection(error: Exception) -> bool:
     """Tell whether a kept connection had been closed before the request could be read."""
     return isinstance(error, ConnectionError)
--- a/libs/base/oleander_base/identifiers.py
+++ b/libs/base/oleander_base/identifiers.py
@@ -3,17 +3,17 @@
 import hashlib
 import secrets
 
-_NAME_BYTES = 8
+_IDENTIFIER_BYTES = 8
 
 
 def create_incarnation() -> str:
     """Return the name of one run of a process; a restart gets another."""
-    return secrets.token_hex(_NAME_BYTES)
+    return secrets.token_hex(_IDENTIFIER_BYTES)
 
 
 def create_nonce() -> str:
     """Return a name that is used once."""
-    return secrets.token_hex(_NAME_BYTES)
+    return secrets.token_hex(_IDENTIFIER_BYTES)
 
 
 def hash_text(text: str) -> int:
--- a/libs/base/oleander_base/invariants.py
+++ b/libs/base/oleander_base/invariants.py
@@ -7,9 +7,9 @@
     """A promise would have been broken; the operation that found it must not go on."""
 
 
-def require(holds: bool, name: str, detail: str) -> None:
+def require(condition: bool, name: str, detail: str) -> None:
     """Raise when a condition that must always hold does not."""
-    if holds:
+    if condition:
         return
     metrics.count(metrics.INVARIANT_BROKEN)
     metrics.count_invariant(name)
--- a/libs/base/oleander_base/json_input.py
+++ b/libs/base/oleander_base/json_input.py
@@ -7,7 +7,7 @@
 
 from oleander_base import findings
 
-_MOST_SHOWN = 10
+_MAX_REPORTED = 10
 _SURROGATE = re.compile("[\ud800-\udfff]")
 
 
@@ -34,14 +34,14 @@
     @property
     def found(self) -> findings.Findings:
         """The faults so far."""
-        return findings.Findings(tuple(self._found[:_MOST_SHOWN]))
+        return findings.Findings(tuple(self._found[:_MAX_REPORTED]))
 
     @property
-    def is_sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether there are no faults so far."""
         return not self._found
 
-    def has(self, name: str) -> bool:
+    def has_field(self, name: str) -> bool:
         """Tell whether a field is there and not null."""
         return self._content.get(name) is not None
 
--- a/libs/base/oleander_base/log.py
+++ b/libs/base/oleander_base/log.py
@@ -14,11 +14,11 @@
 
 logger = loguru.logger
 
-_REPEAT_SECONDS = 10.0
-_MOST_EVENTS = 1000
-_MOST_WAITING = 2000
+_REPEAT_INTERVAL_SECONDS = 10.0
+_MAX_TRACKED_EVENTS = 1000
+_MAX_PENDING_LINES = 2000
 """Lines that wait to be written; past this further ones are dropped and counted."""
-_MOST_TRACEBACK = 2000
+_MAX_TRACEBACK_CHARACTERS = 2000
 
 
 class _RepeatLimiter:
@@ -28,15 +28,15 @@
         self._lock = threading.Lock()
         self._next_at: dict[str, float] = {}
 
-    def admits(self, event: str) -> bool:
+    def try_acquire(self, event: str) -> bool:
         """Tell whether this event may be logged now."""
         now = clock.read_now()
         with self._lock:
             if self._next_at.get(event, 0.0) > now:
                 return False
-            while len(self._next_at) >= _MOST_EVENTS:
+            while len(self._next_at) >= _MAX_TRACKED_EVENTS:
                 self._next_at.pop(next(iter(self._next_at)))
-            self._next_at[event] = now + _REPEAT_SECONDS
+            self._next_at[event] = now + _REPEAT_INTERVAL_SECONDS
             return True
 
 
@@ -62,11 +62,11 @@
     logging.basicConfig(handlers=[_LibraryHandler()], level=logging.WARNING, force=True)
 
 
-def configure_output_log(level: str, process: str) -> None:
+def configure_stdout_log(level: str, process: str) -> None:
     """Send lines to standard output, one JSON object each, and take in the libraries' logs."""
     logger.remove()
     logger.configure(extra={"process": process})
-    logger.add(_LineWriter(process).take, level=level, format="{message}", backtrace=False)
+    logger.add(_LineWriter(process).enqueue, level=level, format="{message}", backtrace=False)
     logging.basicConfig(handlers=[_LibraryHandler()], level=logging.WARNING, force=True)
 
 
@@ -80,24 +80,24 @@
 
     def __init__(self, process: str) -> None:
         self._process = process
-        self._waiting: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self._dropped = 0
+        self._pending: queue.SimpleQueue[str] = queue.SimpleQueue()
+        self._dropped_count = 0
         threading.Thread(target=self._write, name="log", daemon=True).start()
 
-    def take(self, message: "loguru.Message") -> None:
+    def enqueue(self, message: "loguru.Message") -> None:
         """Take in a line, or count it as dropped."""
-        if self._waiting.qsize() >= _MOST_WAITING:
-            self._dropped += 1
+        if self._pending.qsize() >= _MAX_PENDING_LINES:
+            self._dropped_count += 1
             return
-        self._waiting.put(_format_json(message.record))
+        self._pending.put(_format_json(message.record))
 
     def _write(self) -> None:
         while True:
-            lines = [self._waiting.get()]
-            while not self._waiting.empty():
-                lines.append(self._waiting.get())
-            if self._dropped:
-                dropped, self._dropped = self._dropped, 0
+            lines = [self._pending.get()]
+            while not self._pending.empty():
+                lines.append(self._pending.get())
+            if self._dropped_count:
+                dropped, self._dropped_count = self._dropped_count, 0
                 lines.append(
                     json.dumps(
                         {"process": self._process, "event": "log-dropped", "lines": dropped}
@@ -116,7 +116,7 @@
     }
     if record["exception"] is not None:
         lines = traceback.format_exception(*record["exception"])
-        fields["exception"] = "".join(lines)[-_MOST_TRACEBACK:]
+        fields["exception"] = "".join(lines)[-_MAX_TRACEBACK_CHARACTERS:]
     return json.dumps(fields, default=str)
 
 
@@ -128,5 +128,5 @@
 
 def warn_bounded(event: str, message: str, **fields: typing.Any) -> None:
     """Log a warning that may recur many times a second: one line an event in a while."""
-    if _limiter.admits(event):
+    if _limiter.try_acquire(event):
         logger.bind(event=event, **fields).warning(message)
--- a/libs/base/oleander_base/metrics.py
+++ b/libs/base/oleander_base/metrics.py
@@ -94,7 +94,7 @@
     "Requests kept from backend servers because servers ended under them.",
     "Find the request by its digest in the log lines of event crash, and whoever sends it.",
 )
-LOG_OUTAGES = _declare(
+LOG_FAILED_CALLS = _declare(
     "log.failed_calls",
     "counter",
     "count",
@@ -193,7 +193,7 @@
     "Reports of use that were sent, repeats among them.",
     "Over all processes one for each window; none for long: nobody holds the lease.",
 )
-STORE_MS = _declare(
+LOG_CALL_MS = _declare(
     "log.ms", "timer", "ms", "How long a call to the platform's log took.", "As log.failed_calls."
 )
 
--- a/libs/batches/oleander_batches/index_reader.py
+++ b/libs/batches/oleander_batches/index_reader.py
@@ -180,7 +180,7 @@
         offset = self._next_offset
         page = self._log.read(TOPIC, PARTITION, offset, wait_ms, deadline)
         if page.is_error():
-            metrics.count(metrics.LOG_OUTAGES)
+            metrics.count(metrics.LOG_FAILED_CALLS)
             log.warn_bounded("index-unread", page.error.detail)
             self._record_failed_read(deadline.is_past)
             return False
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -214,7 +214,7 @@
         contents = [records.encode_record(item) for item in items]
         may_have_effect = False
         while True:
-            attempt = deadline.earlier(content.APPEND_TIMEOUT_SECONDS)
+            attempt = deadline.cap(content.APPEND_TIMEOUT_SECONDS)
             appended = self._log.append(
                 index_reader.TOPIC, index_reader.PARTITION, contents, attempt
             )
--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -106,8 +106,8 @@
 
     def start(self) -> None:
         """Start the two tasks that follow the stream and append to it."""
-        self._group.keep(self._follow_stream)
-        self._group.keep(self._append_groups)
+        self._group.supervise(self._follow_stream)
+        self._group.supervise(self._append_groups)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
         """Return the claim in force for a key, as far as the stream was read, or None."""
@@ -121,7 +121,7 @@
         After an error the claimant must not act, since its record may still be appended to the
         log later.
         """
-        if not self._caught_up.wait(deadline.earlier(_CATCH_UP_SECONDS).remaining):
+        if not self._caught_up.wait(deadline.cap(_CATCH_UP_SECONDS).remaining):
             return expression.Error(ClaimError("claims-unread", 1000))
         if self._health.is_failing:
             return expression.Error(ClaimError("log-failing", 1000))
@@ -140,7 +140,7 @@
         except queue.Full:
             return expression.Error(ClaimError("claims-waiting", 500))
         try:
-            limit = proposal.deadline.earlier(_DECISION_SECONDS)
+            limit = proposal.deadline.cap(_DECISION_SECONDS)
             return proposal.decision.result(timeout=limit.remaining)
         except concurrent.futures.TimeoutError:
             if proposal.decision.cancel():
@@ -194,7 +194,7 @@
         The records may be in the log nevertheless. That does no harm: these claimants never act
         on them, and no other process acts on a claim of another without asking its sidecar.
         """
-        metrics.count(metrics.LOG_OUTAGES)
+        metrics.count(metrics.LOG_FAILED_CALLS)
         log.warn_bounded("log-append-failed", f"{self._stream}: {error.detail}")
         self._health.record_append_failure()
         refusal = ClaimError("log-failing", max(200, error.retry_after_ms))
@@ -245,7 +245,7 @@
             self._caught_up.set()
 
     def _report_read_failure(self, error: logservice.LogError) -> None:
-        metrics.count(metrics.LOG_OUTAGES)
+        metrics.count(metrics.LOG_FAILED_CALLS)
         log.warn_bounded("log-read-failed", f"{self._stream}: {error.detail}")
 
     def _skip_deleted(self, first_offset: int) -> None:
--- a/libs/direct/oleander_direct/calls.py
+++ b/libs/direct/oleander_direct/calls.py
@@ -138,7 +138,7 @@
     ) -> call_outcomes.CallOutcome:
         remaining = deadline.remaining
         reply_seconds = min(_MAX_REPLY_SECONDS, remaining * _REPLY_FRACTION)
-        attempt_deadline = deadline.earlier(
+        attempt_deadline = deadline.cap(
             max(0.0, min(remaining - reply_seconds, route.timeout_ms / 1000))
         )
         backend = route.pick_backend(self._random)
--- a/libs/orders/oleander_orders/order_leases.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -81,7 +81,7 @@
                 return
             lease_ = lease.FencedLease(self._log, TOPIC, self._host, self._gap_seconds, partition)
             self._leases[partition] = lease_
-        self._group.keep(lambda: self._hold(partition, lease_))
+        self._group.supervise(lambda: self._hold(partition, lease_))
 
     def _hold(self, partition: int, lease_: lease.FencedLease) -> None:
         """Claim and renew a lease until it is neither wanted nor held."""
--- a/libs/platform/oleander_platform/http_hostlist.py
+++ b/libs/platform/oleander_platform/http_hostlist.py
@@ -32,7 +32,7 @@
             return expression.Error(hostlist.HostListError(detail))
         content = json_input.read_object("answer", answer.body)
         hosts = tuple(_read_host(item) for item in content.take_objects("hosts"))
-        if not content.is_sound:
+        if not content.is_valid:
             return expression.Error(hostlist.HostListError(f"malformed answer: {content.found}"))
         return expression.Ok(hosts)
 
--- a/libs/platform/oleander_platform/http_logservice.py
+++ b/libs/platform/oleander_platform/http_logservice.py
@@ -36,7 +36,7 @@
         first_offset = answer.take_count("first_offset")
         if answer.take_count("count") != len(values):
             answer.reject("count", "differs from the records sent")
-        if not answer.is_sound:
+        if not answer.is_valid:
             return expression.Error(_reject_answer(answer))
         return expression.Ok(first_offset)
 
@@ -58,7 +58,7 @@
             return expression.Error(received.error)
         answer = received.ok
         page = _read_page(answer, offset)
-        if not answer.is_sound:
+        if not answer.is_valid:
             return expression.Error(_reject_answer(answer))
         return expression.Ok(page)
 
@@ -88,7 +88,7 @@
 
 
 def _fail(detail: str, may_have_effect: bool, retry_after_ms: int) -> logservice.LogError:
-    metrics.count(metrics.LOG_OUTAGES)
+    metrics.count(metrics.LOG_FAILED_CALLS)
     return logservice.LogError(detail, may_have_effect, retry_after_ms)
 
 
--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -66,7 +66,7 @@
             return expression.Ok(None)
         if self._journal.index.is_unreachable:
             return self._refuse_while_cut_off(submitted.batch_id, "submission")
-        accepted = self._journal.accept(submitted, deadline.earlier(_ACCEPT_TIMEOUT_SECONDS))
+        accepted = self._journal.accept(submitted, deadline.cap(_ACCEPT_TIMEOUT_SECONDS))
         if accepted.is_ok():
             metrics.count(metrics.BATCHES_ACCEPTED)
         log.logger.bind(
--- a/programs/oleanderdeal/oleanderdeal/calls.py
+++ b/programs/oleanderdeal/oleanderdeal/calls.py
@@ -57,7 +57,7 @@
 def await_answer(call: Call, deadline: clock.Deadline) -> messages.Answer | None:
     """Return the answer, or `None` if the link is lost or the deadline passes."""
     while not deadline.is_past:
-        event = call.wait(deadline.earlier(_POLL_SECONDS))
+        event = call.wait(deadline.cap(_POLL_SECONDS))
         if isinstance(event, messages.Answer):
             return event
         if isinstance(event, LinkLost):
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -173,7 +173,7 @@
             self._wait_for_claimant(request, attempt.logged)
             return self._ask_sidecar(request, attempt.logged)
         link = self._links.find_or_dial(claim.sidecar, claim.address)
-        is_open = link.wait_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
+        is_open = link.wait_open(request.deadline.cap(_REDIAL_POLL_SECONDS))
         if request.deadline.is_past:
             return _build_not_run(claim, _NOT_SENT_EVIDENCE, "too-late")
         if not is_open:
@@ -251,7 +251,7 @@
                 link.close_call(call)
             if answer is not None:
                 return _classify_answer(answer, logged.claim, _SEALED_EVIDENCE)
-            link.wait_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
+            link.wait_open(request.deadline.cap(_REDIAL_POLL_SECONDS))
         log.warn_bounded("claim-unreachable", f"can't ask {claim.sidecar} about its claim")
         return expression.Ok(callers.build_unknown("sidecar-unreachable"))
 
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -67,7 +67,7 @@
     """Add every entry's counts; return which entries did not give theirs."""
     problems = []
     for url in context.settings.entries:
-        match context.entries.read_report(url, deadline.earlier(_CALL_SECONDS)):
+        match context.entries.read_report(url, deadline.cap(_CALL_SECONDS)):
             case expression.Result(tag="ok", ok=report):
                 counts.add(report.counts)
             case expression.Result(error=error):
--- a/programs/oleanderdeal/oleanderdeal/commands/spread.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/spread.py
@@ -22,7 +22,7 @@
     while True:
         for url in context.settings.entries:
             if url not in answers or not _is_reached(answers[url], offset):
-                call = deadline.earlier(_CALL_SECONDS)
+                call = deadline.cap(_CALL_SECONDS)
                 answers[url] = context.entries.read_configuration(url, call)
         reached = sum(_is_reached(answer, offset) for answer in answers.values())
         if reached == len(answers) or deadline.is_past:
--- a/programs/oleanderdeal/oleanderdeal/configuration.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration.py
@@ -125,7 +125,7 @@
         page = self._service.read(STREAM, offset, self._poll_ms, deadline)
         self._log_failed = page.is_error()
         if page.is_error():
-            metrics.count(metrics.LOG_OUTAGES)
+            metrics.count(metrics.LOG_FAILED_CALLS)
             log.warn_bounded("log-read-failed", f"{STREAM}: {page.error.detail}")
             return False
         self._apply_page(page.ok)
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -205,18 +205,18 @@
     def run(self, stop: lifecycle.StopSignal) -> None:
         """Serve until stopped, then drain requests in progress."""
         for follower in self._followers:
-            self._group.keep(follower.follow)
-        self._group.keep(self._crash_writer.write)
-        self._group.keep(self._journal.index.follow)
-        self._group.keep(self._ownership.maintain_membership)
-        self._group.keep(self._result_writer.write)
-        self._group.keep(self._batch_runner.start_items)
-        self._group.keep(self._batch_runner.checkpoint_partials)
-        self._group.keep(self._version_reconciler.run)
+            self._group.supervise(follower.follow)
+        self._group.supervise(self._crash_writer.write)
+        self._group.supervise(self._journal.index.follow)
+        self._group.supervise(self._ownership.maintain_membership)
+        self._group.supervise(self._result_writer.write)
+        self._group.supervise(self._batch_runner.start_items)
+        self._group.supervise(self._batch_runner.checkpoint_partials)
+        self._group.supervise(self._version_reconciler.run)
         if self._usage_reporter is not None:
-            self._group.keep(self._usage_reporter.flush_repeatedly)
-            self._group.keep(self._usage_reporter.keep_lease)
-            self._group.keep(self._usage_reporter.report_repeatedly)
+            self._group.supervise(self._usage_reporter.flush_repeatedly)
+            self._group.supervise(self._usage_reporter.keep_lease)
+            self._group.supervise(self._usage_reporter.report_repeatedly)
         self._group.start(self._api_server.serve)
         self._group.start(self._ready_server.serve)
         if self._metrics_server is not None:
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -190,7 +190,7 @@
 ) -> collections.abc.Generator[messages.Tokens, None, messages.Answer | None]:
     """Yield tokens until the answer; return `None` if the deadline passes or the caller goes."""
     while not deadline.is_past and not observer.is_gone():
-        event = call.wait(deadline.earlier(_POLL_SECONDS))
+        event = call.wait(deadline.cap(_POLL_SECONDS))
         match event:
             case messages.Tokens():
                 observer.on_tokens(event)
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -115,12 +115,12 @@
     def run(self, stop: lifecycle.StopSignal) -> None:
         """Serve until stopped, then drain requests in progress."""
         self._follower.add_change_listener(self._trainer_incarnations.update_steps)
-        self._group.keep(self._follower.follow)
-        self._group.keep(self._host_follower.follow)
-        self._group.keep(self._trainer_incarnations.write)
-        self._group.keep(self._snapshot_writer.write)
+        self._group.supervise(self._follower.follow)
+        self._group.supervise(self._host_follower.follow)
+        self._group.supervise(self._trainer_incarnations.write)
+        self._group.supervise(self._snapshot_writer.write)
         self._claim_book.start()
-        self._group.keep(self._sampling.feed)
+        self._group.supervise(self._sampling.feed)
         self._group.start(self._server.serve)
         lifecycle.announce_address(self._settings.listen_host, self._server.port)
         while not stop.wait(1.0):
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -49,7 +49,7 @@
     def start(self) -> None:
         """Start one task for each slot."""
         for _ in range(self._slots):
-            self._group.keep(self._serve_slot)
+            self._group.supervise(self._serve_slot)
 
     def submit(self, pending: pending_runs.PendingRun) -> None:
         """Queue a request or refuse it at once."""
--- a/programs/oleanderdeal/oleanderdeal/metrics_page.py
+++ b/programs/oleanderdeal/oleanderdeal/metrics_page.py
@@ -13,4 +13,6 @@
         """Return the figures as they are now."""
         if request.target.partition("?")[0] != PATH:
             return http_messages.HttpAnswer(404, "text/plain", [b"metrics are at /metrics\n"])
-        return http_messages.HttpAnswer(200, exposition.CONTENT_TYPE, [exposition.write_metrics()])
+        return http_messages.HttpAnswer(
+            200, exposition.CONTENT_TYPE, [exposition.render_metrics()]
+        )
--- a/programs/oleanderdeal/oleanderdeal/peers.py
+++ b/programs/oleanderdeal/oleanderdeal/peers.py
@@ -126,5 +126,5 @@
 
     def _start(self, host: hostlist.Host, is_routed: bool) -> peer_link.PeerLink:
         created = self._create_link(host, is_routed)
-        self._group.keep(created.keep_open)
+        self._group.supervise(created.keep_open)
         return created
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -87,11 +87,11 @@
 
     def run(self, stop: lifecycle.StopSignal) -> exit_codes.ExitCode:
         """Serve until stopped, then finish running requests; return the exit code."""
-        self._group.keep(self._follower.follow)
-        self._group.keep(self._order_log.write)
+        self._group.supervise(self._follower.follow)
+        self._group.supervise(self._order_log.write)
         if self._weight_reconciler is not None:
             self._follower.add_change_listener(self._weight_reconciler.wake)
-            self._group.keep(self._weight_reconciler.run)
+            self._group.supervise(self._weight_reconciler.run)
         self._executor.start()
         self._group.start(self._server.serve)
         lifecycle.announce_address(self._settings.listen_host, self._server.port)
--- a/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/ticket_dispatch.py
@@ -85,7 +85,7 @@
             answer = self._send(link, request, ticket)
             if answer is not None:
                 return _classify_answer(answer)
-            link.wait_open(request.deadline.earlier(_REDIAL_POLL_SECONDS))
+            link.wait_open(request.deadline.cap(_REDIAL_POLL_SECONDS))
         return expression.Ok(callers.build_unknown("too-late"))
 
     def _send(
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -206,7 +206,7 @@
         if tenure is None:
             return False
         holder = platform.DutyHolder(self._settings.holder, tenure.fencing_number)
-        deadline = tenure.deadline.earlier(_CALL_TIMEOUT_SECONDS)
+        deadline = tenure.deadline.cap(_CALL_TIMEOUT_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
             event="usage-reported",
--- a/programs/oleanderdeal/oleanderdeal/version_reconciler.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -187,7 +187,7 @@
             fencing_number=tenure.fencing_number,
             accepted_orders=accepted,
         )
-        deadline = tenure.deadline.earlier(_ORDER_TIMEOUT_SECONDS)
+        deadline = tenure.deadline.cap(_ORDER_TIMEOUT_SECONDS)
         self._load_guard.register_load(order.server, order.model, order.version)
         outcome = self._caller.order(order.server, request, deadline)
         if isinstance(outcome, servers.OrderRefused):
