--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -1,4 +1,4 @@
-"""Processes that run batches in memory, at engines that do as they are told."""
+"""Processes that run batches in memory, with fake engines of configurable behaviour."""
 
 import collections
 import time
@@ -17,12 +17,12 @@
 MODEL = "m"
 _EVENT_SECONDS = 0.005
 _SECONDS = {"slow": 0.3, "crawls": 1.0}
-"""From one event to the next, where an engine takes longer than usual."""
+"""The seconds between two events of an engine with this behaviour."""
 _TICK_SECONDS = 0.02
 
 
 class FakeStream(servers.EventStream):
-    """Sends the events of one item, as its engine was told to."""
+    """Sends the events of one item according to its engine's behaviour."""
 
     def __init__(self, engines, behaviour, request, is_cancelled):
         self._engines = engines
@@ -69,7 +69,7 @@
 
 
 class FakeEngines(server_fakes.UnusedCaller):
-    """Engines and the scorer."""
+    """Fake engines and a fake scorer, which count events, attempts and running streams."""
 
     def __init__(self, behaviours, scorer="answers"):
         self._behaviours = behaviours
@@ -132,7 +132,7 @@
 
 
 class RunnerProcess:
-    """One process that runs batches."""
+    """The parts of a process that run batches, connected to a log in memory and fake engines."""
 
     def __init__(self, log_service, engines, names, member="runner"):
         self.group = tasks.TaskGroup("runner", 64)
--- a/features/batches.feature
+++ b/features/batches.feature
@@ -1,9 +1,9 @@
 Feature: Batches in the platform's log
   Entries share one log in memory. Items are numbered from 0; a result is written number=text.
 
-  Scenario Outline: What is listed never changes, whoever writes and however often
-    # A trainer must read each sample once, at the same position at every entry. Two entries run
-    # the same item, an append takes effect twice or late, or its answer is lost; each writes again.
+  Scenario Outline: Listed results never change, whichever entry writes and however often
+    # A trainer must read each sample once, at the same position at every entry. Guards against changes
+    # when two entries run the same item, or when an append takes effect twice or late or is repeated.
     Given two entries on one log and a batch of 3 items
     When the entries write <writes>
     Then both entries list <listed>
@@ -19,11 +19,11 @@
       | a:7=beyond a:1=y                 | 1=y           |
       | garbage a:0=x garbage b:1=y      | 0=x 1=y       |
 
-  Scenario Outline: A batch is called refused only if it can never run
-    # The trainer hands the batch in again after a refusal and counts on the first never running.
-    # Only what the log certainly did not take is refused; an append without an answer may stand.
+  Scenario Outline: A batch is reported as refused only if it can never run
+    # After a refusal the trainer submits the batch again and relies on the first one never running.
+    # An append that was not answered may have taken effect, so it is not reported as refused.
     Given two entries on one log
-    When entry a accepts a batch while the log does <fault>
+    When entry a accepts a batch with the log fault: <fault>
     Then the acceptance of entry a is <outcome>
     And entry b finds the batch: <found>
 
@@ -37,11 +37,11 @@
       | lose the index     | unknown  | yes   |
       | delay the index    | unknown  | no    |
 
-  Scenario Outline: A batch is missing only where the index was read to its end
-    # "No such batch" makes a trainer give its step up. An entry that has not read the acceptance
-    # yet reads on first, and says that it can't be sure where the log does not answer.
+  Scenario Outline: A batch is reported as missing only if the index was read to its end
+    # "No such batch" makes a trainer give up its step. An entry first reads the rest of the index, and
+    # answers that it is unsure if the log does not answer.
     Given two entries on one log
-    When entry a accepts a batch while the log does nothing
+    When entry a accepts a batch with the log fault: nothing
     And the log is <state> for entry b
     Then asking entry b for the <batch> batch gives <answer>
 
@@ -52,15 +52,15 @@
       | down  | accepted | unsure  |
       | down  | other    | unsure  |
 
-  Scenario Outline: An entry that is cut from the log answers at once
-    # The entry was cut off and knows it. A trainer whose call it holds asks no other entry meanwhile:
-    # its step begins, ends or is seen to be whole seconds later than it could.
+  Scenario Outline: An entry that can't reach the log answers at once
+    # While an entry holds a trainer's call, the trainer asks no other entry. Guards against steps that
+    # begin, end or are seen to be complete seconds later than they could be.
     Given two entries on one log and a batch of 3 items
     And the entries write a:0=x
-    And entry a was cut from the log and has noticed
+    And entry a can't reach the log and has detected it
     When a trainer asks entry a to <call>
-    Then it hears <answer> within 0.3 s
-    And once the log is back, entry a does what it is asked
+    Then it is answered <answer> within 0.3 s
+    And once the log is back, entry a serves the same request
 
     Examples:
       | call                | answer  |
@@ -70,50 +70,50 @@
       | list another batch  | unsure  |
       | end the batch       | refused |
 
-  Scenario: An entry whose log turned a read away still tries
-    # A log that answers "busy" answers at once: trying costs the trainer nothing, and may succeed.
+  Scenario: An entry whose read was refused by the log still tries
+    # A log that refuses answers at once, so another attempt doesn't delay the trainer and may succeed.
     Given two entries on one log and a batch of 3 items
-    And entry a was turned away by the log for a moment
+    And a read of entry a was refused by the log
     When a trainer asks entry a to accept a batch
     Then it is accepted
 
-  Scenario: A trainer that waits at an entry hears at once that it was cut
+  Scenario: A trainer that waits at an entry is answered as soon as the log is found unreachable
     Given two entries on one log and a batch of 3 items
-    When a trainer waits at entry a for 3 s and the log is cut
-    Then it hears unsure within 1.3 s
+    When a trainer waits at entry a for 3 s and the log becomes unreachable
+    Then it is answered unsure within 1.3 s
 
-  Scenario: A page without records moves no reader on
-    # A read that waits in vain is answered with the end of the log just as a record is appended. An
-    # entry that goes on from that end misses the record for ever: all later results of the batch
-    # stand one position too early there, and its trainer reads one sample twice and another never.
+  Scenario: A page without records does not advance the read offset
+    # A read that found nothing is answered with the log's end just as a record is appended. An entry
+    # that continues from that end misses the record: all later results of the batch are listed one
+    # position too early there, and a trainer that switches entries reads one twice and misses another.
     Given two entries on one log and a batch of 3 items
     When the entries write a:0=x
     And the entries write b:hollow a:1=y b:2=z
     Then both entries list 0=x 1=y 2=z
 
-  Scenario: An ended batch stays readable and runs no more
+  Scenario: An ended batch stays readable and is no longer run
     Given two entries on one log and a batch of 3 items
     When the entries write a:0=x a:end b:1=y
     Then both entries list 0=x 1=y
     And the batch is open for neither entry
 
-  Scenario: A large submission is read back as it was
+  Scenario: A submission of several records is read back unchanged
     Given two entries on one log
-    When entry a accepts a batch while the log does nothing, for 400 kB
+    When entry a accepts a batch with the log fault: nothing, for 400 kB
     Then entry b reads the submission of entry a
 
-  Scenario: The start of a text is there for whoever goes on with it
+  Scenario: Another entry resumes an item from its longest partial text
     Given two entries on one log and a batch of 3 items
-    When entry a keeps the start "one\ntwo" of item 1 with 2 events
-    And entry a keeps the start "one" of item 1 with 1 events
-    Then entry b goes on with item 1 from "one\ntwo"
+    When entry a appends the partial text "one\ntwo" of item 1 with 2 events
+    And entry a appends the partial text "one" of item 1 with 1 events
+    Then entry b resumes item 1 from "one\ntwo"
 
-  Scenario Outline: An entry that somebody waits at, or that runs batches, reads on at once
-    # Guards against steps that begin and end late since the index is read after a pause.
+  Scenario Outline: An entry with a waiting trainer, or that runs batches, reads the index without a pause
+    # Guards against steps that begin and end late because the index is read only after a pause.
     Given two entries on one log and a batch of 20 items
     And entry b follows the log and <what>
-    When entry a writes 20 results, each once entry b knows the one before
-    Then entry b knows all of them within 2 s
+    When entry a writes 20 results, each after entry b has read the previous one
+    Then entry b has read all of them within 2 s
 
     Examples:
       | what                       |
--- a/features/steps/batch_items_steps.py
+++ b/features/steps/batch_items_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the items of a batch at engines that fail."""
+"""Steps for the items of a batch on engines that fail."""
 
 import threading
 
@@ -73,7 +73,7 @@
             assert result.versions == (2,), result
 
 
-@behave.then("no event was made twice from the start where it could go on")
+@behave.then("no event was generated twice with the same version")
 def check_made(context):
     again = {key: count for key, count in context.engines.made.items() if count > 1}
     assert not again, again
@@ -103,7 +103,7 @@
 
 
 @behave.when("the runner is drained while the log is down")
-def drain_in_vain(context):
+def drain_without_log(context):
     context.log_service.faults.is_down = True
     context.process.runner.drain()
     context.log_service.faults.is_down = False
@@ -123,7 +123,9 @@
     stopper.join()
 
 
-@behave.then("within {seconds:g} s {name} is known to take {least:d} to {most:d} ms an event")
+@behave.then(
+    "within {seconds:g} s the measured time per event of {name} is {least:d} to {most:d} ms"
+)
 def check_rate(context, seconds, name, least, most):
     def read_rate():
         known = context.process.router.list_peers()
--- a/features/steps/batch_tenures_steps.py
+++ b/features/steps/batch_tenures_steps.py
@@ -1,4 +1,4 @@
-"""Steps for batches whose partition is dealt to another process."""
+"""Steps for batches whose partition is assigned to another process."""
 
 import time
 
@@ -8,7 +8,7 @@
 from oleander_standins import recordlog
 
 
-@behave.given("runners a and b with the engines {listed}, all partitions dealt to {owner}")
+@behave.given("runners a and b with the engines {listed}, all partitions assigned to {owner}")
 def start_two_runners(context, listed, owner):
     context.log_service = recordlog.MemoryRecordLog()
     _deal(context, owner)
@@ -33,12 +33,12 @@
         context.log_service.dealt[member] = frozenset(range(64) if is_dealt else ())
 
 
-@behave.when("all partitions are dealt to {name}")
+@behave.when("all partitions are assigned to {name}")
 def deal(context, name):
     _deal(context, name)
 
 
-@behave.when("runner {name} ends without a word")
+@behave.when("runner {name} ends without a hand-over")
 def end_abruptly(context, name):
     context.processes[name].stop()
     other = "b" if name == "a" else "a"
@@ -55,7 +55,7 @@
     context.processes[name].owned.leave()
 
 
-@behave.then("within {seconds:g} s the log has heard that runner {name} left")
+@behave.then("within {seconds:g} s the log has recorded that runner {name} left")
 def check_left(context, seconds, name):
     left = context.log_service.left
     batch_processes.wait_until(seconds, lambda: name in left, lambda: left)
@@ -71,7 +71,7 @@
     time.sleep(seconds)
 
 
-@behave.then("each item was begun once")
+@behave.then("each item was started once")
 def check_attempts(context):
     assert context.engines.attempts == batch_processes.ITEMS, context.engines.attempts
 
@@ -82,7 +82,7 @@
     batch_processes.wait_until(seconds, lambda: runner.running == items, lambda: runner.running)
 
 
-@behave.then("runner {name} goes on with its {items:d} items")
+@behave.then("runner {name} still runs its {items:d} items")
 def check_still_running(context, name, items):
     assert context.processes[name].runner.running == items, context.processes[name].runner.running
 
@@ -93,8 +93,8 @@
     batch_processes.wait_until(2, lambda: not owned.partitions, lambda: owned.partitions)
 
 
-@behave.when("runner b is started anew with all partitions")
-def start_anew(context):
+@behave.when("runner b is restarted with all partitions")
+def restart(context):
     context.processes["b"].stop()
     _deal(context, "b")
     engines = context.engines
--- a/features/steps/batches_steps.py
+++ b/features/steps/batches_steps.py
@@ -13,7 +13,7 @@
 _SECONDS = 0.5
 _FOLLOW_SECONDS = 2.0
 _SIZES = {"": 4, "400 kB": 133_000, "2 MB": 667_000}
-"""Bytes of each of three bodies."""
+"""The size in bytes of each of the three items' bodies, by the total of a row."""
 _FAULTS = {
     "nothing": {},
     "down": {"is_down": True},
@@ -71,7 +71,7 @@
 
 
 def build_submission(items=3, batch_id="batch", body=b"body"):
-    """Return a submission of some items in groups of two."""
+    """Return a submission of `items` items in groups of two."""
     return submission.Submission(
         batch_id,
         "host",
@@ -120,7 +120,7 @@
         assert " ".join(texts) == listed, (name, texts)
 
 
-@behave.when("entry {name} accepts a batch while the log does {fault}")
+@behave.when("entry {name} accepts a batch with the log fault: {fault}")
 def accept_batch(context, name, fault):
     client = context.shared.clients[name]
     fault, _, size = fault.partition(", for ")
@@ -136,7 +136,7 @@
 
 
 def _fail_index(client, fault, times):
-    """Let so many next appends to the index go wrong."""
+    """Inject a fault into the next `times` appends to the index."""
     original = client.append
     left = [times]
 
@@ -184,14 +184,16 @@
         assert not kept.index.list_open()
 
 
-@behave.when('entry {name} keeps the start "{text}" of item {number:d} with {events:d} events')
-def keep_start(context, name, text, number, events):
+@behave.when(
+    'entry {name} appends the partial text "{text}" of item {number:d} with {events:d} events'
+)
+def append_partial(context, name, text, number, events):
     partial = submission.PartialText(number, text, events, ((1, events),))
     assert context.shared.journals[name].append_partials("batch", [partial]).is_ok()
 
 
-@behave.then('entry {name} goes on with item {number:d} from "{text}"')
-def check_start(context, name, number, text):
+@behave.then('entry {name} resumes item {number:d} from "{text}"')
+def check_partial(context, name, number, text):
     context.shared.refresh()
     batch = context.shared.find(name)
     deadline = clock.start_deadline(_SECONDS)
@@ -208,8 +210,8 @@
     assert read.ok == context.submitted
 
 
-@behave.given("entry {name} was cut from the log and has noticed")
-def cut_entry(context, name):
+@behave.given("entry {name} can't reach the log and has detected it")
+def disconnect_entry(context, name):
     context.shared.clients[name].faults.is_silent = True
     kept = context.shared.journals[name]
     assert not kept.index.refresh(clock.read_now(), clock.start_deadline(0.1))
@@ -233,13 +235,13 @@
 
 
 @behave.when("a trainer asks entry a to {call}")
-def ask_cut_entry(context, call):
+def ask_entry(context, call):
     context.call = call
     context.answer = _ask(context, call)
 
 
-@behave.when("a trainer waits at entry a for {seconds:g} s and the log is cut")
-def wait_at_cut_entry(context, seconds):
+@behave.when("a trainer waits at entry a for {seconds:g} s and the log becomes unreachable")
+def wait_at_disconnected_entry(context, seconds):
     shared = context.shared
     shared.clients["a"].faults.is_silent = True
     reader = threading.Thread(
@@ -254,13 +256,13 @@
     reader.join()
 
 
-@behave.then("it hears {fault} within {seconds:g} s")
+@behave.then("it is answered {fault} within {seconds:g} s")
 def check_soon(context, fault, seconds):
     assert context.answer.is_error() and context.answer.error.fault.value == fault, context.answer
     assert context.seconds < seconds, context.seconds
 
 
-@behave.then("once the log is back, entry a does what it is asked")
+@behave.then("once the log is back, entry a serves the same request")
 def check_back(context):
     context.shared.clients["a"].faults.is_silent = False
     context.shared.refresh()
@@ -269,8 +271,8 @@
     assert answer.is_ok() or (is_missing and context.call == "list another batch"), answer
 
 
-@behave.given("entry {name} was turned away by the log for a moment")
-def turn_away(context, name):
+@behave.given("a read of entry {name} was refused by the log")
+def refuse_read(context, name):
     faults = context.shared.clients[name].faults
     faults.is_down = True
     kept = context.shared.journals[name]
@@ -292,7 +294,7 @@
     kept.index.expect_updates(not context.has_trainer)
 
 
-@behave.when("entry a writes {count:d} results, each once entry b knows the one before")
+@behave.when("entry a writes {count:d} results, each after entry b has read the previous one")
 def write_in_turn(context, count):
     kept = context.shared.journals["b"]
     batch = kept.index.find("batch")
@@ -306,7 +308,7 @@
                 kept.index.wait_for_change(_FOLLOW_SECONDS)
 
 
-@behave.then("entry b knows all of them within {seconds:g} s")
+@behave.then("entry b has read all of them within {seconds:g} s")
 def check_followed(context, seconds):
     assert seconds == _FOLLOW_SECONDS
     batch = context.shared.find("b")
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a follower of the platform's log after an outage."""
+"""Steps for a follower and a writer of the platform's log after an outage."""
 
 import time
 import types
@@ -18,7 +18,7 @@
 
 
 class WaitingLog(recordlog.MemoryRecordLog):
-    """Answers a read that finds nothing new only after its wait, as the platform does."""
+    """Delays the answer to a read without new records by its wait, as the platform does."""
 
     def __init__(self):
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 class CurrentSink(keyed_follower.KeyedSink):
-    """Notes when the topic was read to its end."""
+    """Records when the topic was last read to its end."""
 
     def __init__(self):
         self.current_at = 0.0
@@ -93,7 +93,7 @@
 
 
 class ReturningJournal:
-    """A journal that refuses results until a moment of simulated time."""
+    """A journal that refuses results until a given moment of simulated time."""
 
     def __init__(self, returns_at):
         self.now = 0.0
@@ -120,7 +120,7 @@
     context.writer = result_writer.ResultWriter(context.returning, context.returning)
 
 
-@behave.when("a result is made meanwhile")
+@behave.when("a result is generated meanwhile")
 def write_result(context):
     done = submission.ResultState.DONE
     context.writer.add("batch", 0, submission.ItemResult("item", done, "text", (1,), "score"))
