--- a/features/steps/batch_items_steps.py
+++ b/features/steps/batch_items_steps.py
@@ -74,7 +74,7 @@
 
 
 @behave.then("no event was generated twice with the same version")
-def check_made(context):
+def check_generated_once(context):
     again = {key: count for key, count in context.engines.made.items() if count > 1}
     assert not again, again
 
--- a/features/steps/batch_tenures_steps.py
+++ b/features/steps/batch_tenures_steps.py
@@ -11,7 +11,7 @@
 @behave.given("runners a and b with the engines {listed}, all partitions assigned to {owner}")
 def start_two_runners(context, listed, owner):
     context.log_service = recordlog.MemoryRecordLog()
-    _deal(context, owner)
+    _assign_partitions(context, owner)
     behaviours = dict(item.split("=") for item in listed.split())
     context.engines = batch_processes.FakeEngines(behaviours)
     context.clients = {name: context.log_service.create_client() for name in "ab"}
@@ -27,19 +27,19 @@
     )
 
 
-def _deal(context, name):
+def _assign_partitions(context, name):
     for member in "ab":
         is_dealt = member == name
         context.log_service.dealt[member] = frozenset(range(64) if is_dealt else ())
 
 
 @behave.when("all partitions are assigned to {name}")
-def deal(context, name):
-    _deal(context, name)
+def assign_partitions(context, name):
+    _assign_partitions(context, name)
 
 
 @behave.when("runner {name} ends without a hand-over")
-def end_abruptly(context, name):
+def end_without_handover(context, name):
     context.processes[name].stop()
     other = "b" if name == "a" else "a"
     context.process = context.processes[other]
@@ -67,7 +67,7 @@
 
 
 @behave.when("after {seconds:g} s")
-def let_pass(context, seconds):
+def wait_seconds(context, seconds):
     time.sleep(seconds)
 
 
@@ -96,7 +96,7 @@
 @behave.when("runner b is restarted with all partitions")
 def restart(context):
     context.processes["b"].stop()
-    _deal(context, "b")
+    _assign_partitions(context, "b")
     engines = context.engines
     context.processes["b"] = batch_processes.RunnerProcess(
         context.clients["b"], engines, ["e1", "e2"], "b"
