--- a/bench/samples_cost.py
+++ b/bench/samples_cost.py
@@ -5,7 +5,7 @@
 import tracemalloc
 
 from oleander_contracts import contract
-from oleander_samples import collector, held, pulls, readers, steps
+from oleander_samples import collector, number_sets, pulls, readers, steps
 
 GROUPS = 1024
 SAMPLES = 8
@@ -40,7 +40,7 @@
 
 def write_pull(numbers: range | list[int]) -> bytes:
     """Return the body of a pull."""
-    text = held.format_numbers(numbers)
+    text = number_sets.format_numbers(numbers)
     body = {"incarnation": 1, "version": 7, "held": text, "wait_ms": 0, "most": 64}
     return json.dumps(body).encode()
 
--- a/features/steps/sample_steps_readers_steps.py
+++ b/features/steps/sample_steps_readers_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from oleander_samples import held, readers
+from oleander_samples import number_sets, readers
 
 
 def _read_numbers(text):
@@ -14,7 +14,7 @@
 @behave.when('the sample set "{text}" of a step of {total:d} is read')
 @behave.when('the sample set "" of a step of {total:d} is read')
 def read_set(context, total, text=""):
-    context.sample_read = held.parse_numbers(text, total)
+    context.sample_read = number_sets.parse_numbers(text, total)
 
 
 @behave.then("the sample numbers are {numbers}")
@@ -25,7 +25,7 @@
 @behave.then('the sample set is written as "{text}"')
 @behave.then('the sample set is written as ""')
 def check_written(context, text=""):
-    assert held.format_numbers(context.sample_read.ok) == text
+    assert number_sets.format_numbers(context.sample_read.ok) == text
 
 
 @behave.when('the trainer\'s step "{step}" is read from')
--- a/features/steps/samples_steps.py
+++ b/features/steps/samples_steps.py
@@ -4,7 +4,7 @@
 
 from oleander_base import metrics
 from oleander_contracts import contract
-from oleander_samples import collector, hedging, held, labels, pulls, readers, steps
+from oleander_samples import collector, hedging, labels, number_sets, pulls, readers, steps
 
 NAMES = "abcdefghijklmnopqrstuvwxyz"
 
@@ -48,7 +48,7 @@
     def __init__(self, groups, bound, held_text=None, policy=None):
         self.now = 0.0
         total = sum(group.sample_count for group in groups)
-        numbers = None if held_text is None else held.parse_numbers(held_text, total).ok
+        numbers = None if held_text is None else number_sets.parse_numbers(held_text, total).ok
         step = steps.Step("caroni", "offers", 12, 3, 7, groups, numbers)
         terms = contract.TrainerTerms(
             "offers", "offers", "m", bound, contract.Objective.IDLE_TIME, 0
@@ -109,7 +109,7 @@
 
     def _pull(self, version, numbers="nothing", most="64", incarnation="3"):
         text = "" if numbers == "nothing" else numbers.replace("+", ",")
-        read = held.parse_numbers(text, readers.MAX_SAMPLES).ok
+        read = number_sets.parse_numbers(text, readers.MAX_SAMPLES).ok
         pull = pulls.Pull(int(incarnation), int(version), read, 0, int(most))
         self.answers.append(self.collector.pull(pull, 0.0))
 
--- a/libs/batches/oleander_batches/content.py
+++ b/libs/batches/oleander_batches/content.py
@@ -73,10 +73,10 @@
             for start in range(0, len(content), _MAX_RECORD_BYTES)
         ]
         partition = self.find_partition(accepted.batch_id)
-        kept = self._log.append(CONTENT_TOPIC, partition, parts, deadline)
-        if kept.is_error():
-            return expression.Error(JournalFailure(kept.error.detail, False))
-        return expression.Ok(SubmissionLocation(kept.ok.first_offset, len(parts)))
+        appended = self._log.append(CONTENT_TOPIC, partition, parts, deadline)
+        if appended.is_error():
+            return expression.Error(JournalFailure(appended.error.detail, False))
+        return expression.Ok(SubmissionLocation(appended.ok.first_offset, len(parts)))
 
     def append(
         self, batch_id: str, contents: list[bytes]
--- a/libs/batches/oleander_batches/index_reader.py
+++ b/libs/batches/oleander_batches/index_reader.py
@@ -173,7 +173,7 @@
     def list_partial_offsets(self, batch: batch_table.Batch) -> list[int]:
         """Return the content offsets of a batch's partial texts, in ascending order."""
         with self._lock:
-            return sorted(place.content_offset for place in batch.partials.values())
+            return sorted(location.content_offset for location in batch.partials.values())
 
     def _read_page(self, wait_ms: int, deadline: clock.Deadline) -> bool:
         started_at = clock.read_now()
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -79,9 +79,9 @@
         still appear; the failure then has `may_have_effect` set and must not be reported as a
         refusal.
         """
-        kept = self._content.append_submission(accepted, deadline)
-        if kept.is_error():
-            return expression.Error(kept.error)
+        appended = self._content.append_submission(accepted, deadline)
+        if appended.is_error():
+            return expression.Error(appended.error)
         record = records.Accepted(
             accepted.batch_id,
             accepted.host,
@@ -89,8 +89,8 @@
             accepted.model,
             accepted.step,
             accepted.oldest_version,
-            kept.ok.first_offset,
-            kept.ok.record_count,
+            appended.ok.first_offset,
+            appended.ok.record_count,
             len(accepted.items),
             accepted.organisation,
         )
@@ -115,8 +115,8 @@
         if appended.is_error():
             return expression.Error(appended.error)
         index: list[records.IndexRecord] = [
-            records.Finished(batch_id, number, appended.ok + place)
-            for place, (number, _) in enumerate(results)
+            records.Finished(batch_id, number, appended.ok + position)
+            for position, (number, _) in enumerate(results)
         ]
         return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
@@ -129,8 +129,8 @@
         if appended.is_error():
             return expression.Error(appended.error)
         index: list[records.IndexRecord] = [
-            records.Partial(batch_id, item.item_number, appended.ok + place, item.events)
-            for place, item in enumerate(partials)
+            records.Partial(batch_id, item.item_number, appended.ok + position, item.events)
+            for position, item in enumerate(partials)
         ]
         return self._append_index(index, clock.start_deadline(content.APPEND_TIMEOUT_SECONDS))
 
@@ -149,19 +149,19 @@
 
         The page is empty only if there is no result at that position.
         """
-        places = self._index.list_result_locations(batch, after)
-        if not places:
+        locations = self._index.list_result_locations(batch, after)
+        if not locations:
             return expression.Ok(ResultPage(batch.total, ()))
-        first = places[0].content_offset
+        first = locations[0].content_offset
         contents = self._content.read(batch.batch_id, first, deadline)
         if contents.is_error():
             return expression.Error(contents.error)
         results = []
-        for place in places:
-            found = contents.ok.get(place.content_offset)
-            if found is None:
+        for location in locations:
+            encoded = contents.ok.get(location.content_offset)
+            if encoded is None:
                 break
-            decoded = submission.decode_result(found)
+            decoded = submission.decode_result(encoded)
             if decoded.is_error():
                 return expression.Error(content.JournalFailure(str(decoded.error), False))
             results.append(decoded.ok)
--- a/libs/samples/oleander_samples/__init__.py
+++ b/libs/samples/oleander_samples/__init__.py
@@ -8,6 +8,6 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    from oleander_samples import collector, held, labels, pulls, readers, registry, steps
+    from oleander_samples import collector, labels, number_sets, pulls, readers, registry, steps
 
-__all__ = ["collector", "held", "labels", "pulls", "readers", "registry", "steps"]
+__all__ = ["collector", "labels", "number_sets", "pulls", "readers", "registry", "steps"]
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -44,7 +44,7 @@
     ) -> None:
         self._step = step
         self._digest = step.digest
-        self._total = step.sample_count
+        self._sample_count = step.sample_count
         self._staleness_bound = terms.staleness_bound
         self._read_now = read_now
         self._changed = threading.Condition()
@@ -58,7 +58,7 @@
         self._inventory = inventory.Inventory(step.sample_count)
         self._version = 0
         self._last_contact_at = read_now()
-        self._is_started = False
+        self._has_stated_held = False
         self._is_closed = False
         self._latest_pull_number = 0
         self._raise_version(step.version)
@@ -86,7 +86,7 @@
     def is_complete(self) -> bool:
         """Whether every sample is held by the trainer or pending delivery."""
         with self._changed:
-            return self._inventory.finished_count == self._total
+            return self._inventory.finished_count == self._sample_count
 
     @property
     def is_closed(self) -> bool:
@@ -215,8 +215,8 @@
         if pull.incarnation > self._step.incarnation:
             return pulls.PullRefusal(pulls.RefusalReason.STEP_UNKNOWN)
         highest = max(pull.held, default=0)
-        if highest >= self._total:
-            finding = findings.Finding("held", f"{highest} is outside 0-{self._total - 1}")
+        if highest >= self._sample_count:
+            finding = findings.Finding("held", f"{highest} is outside 0-{self._sample_count - 1}")
             return pulls.PullRefusal(pulls.RefusalReason.BAD_HELD, findings.Findings((finding,)))
         return None
 
@@ -241,14 +241,16 @@
                 "pull-is-fresh",
                 f"sample {sample.number} is stale at version {self._version}: {sample.label}",
             )
-        complete = len(pull.held) + len(samples) == self._total
+        complete = len(pull.held) + len(samples) == self._sample_count
         return pulls.PullAnswer(self._step.step, self._version, complete, samples)
 
     def _can_start(self) -> bool:
-        if not self._is_started or self._is_closed:
+        if not self._has_stated_held or self._is_closed:
             return False
-        patience = MAX_SILENCE_SECONDS if self._latest_pull_number else ABANDONED_AFTER_SECONDS
-        if self._measure_silence() > patience:
+        max_silence_seconds = (
+            MAX_SILENCE_SECONDS if self._latest_pull_number else ABANDONED_AFTER_SECONDS
+        )
+        if self._measure_silence() > max_silence_seconds:
             return False
         return self._inventory.pending_characters < MAX_PENDING_CHARACTERS
 
@@ -277,11 +279,11 @@
 
     def _set_held(self, numbers: frozenset[int]) -> None:
         """Update the held samples: stop work on the added ones, queue the removed ones again."""
-        self._is_started = True
-        added, gone = self._inventory.update_held(numbers)
+        self._has_stated_held = True
+        added, removed = self._inventory.update_held(numbers)
         for number in added:
             self._scheduler.cancel(self._scheduler.stop_sample(number))
-        for number in gone:
+        for number in removed:
             self._scheduler.restart_sample(number, self._read_now())
         self._check_sample_counts()
 
@@ -289,7 +291,9 @@
         """Require that each sample is counted once: as finished, running or waiting."""
         if self._is_closed:
             return
-        places = (self._inventory.finished_count, self._scheduler.running, self._scheduler.waiting)
+        counts = (self._inventory.finished_count, self._scheduler.running, self._scheduler.waiting)
         invariants.require(
-            sum(places) == self._total, "sample-in-one-place", f"{places} of {self._total}"
+            sum(counts) == self._sample_count,
+            "sample-in-one-place",
+            f"{counts} of {self._sample_count}",
         )
--- a/libs/samples/oleander_samples/hedging.py
+++ b/libs/samples/oleander_samples/hedging.py
@@ -52,12 +52,12 @@
     def __init__(
         self,
         policy: StragglerPolicy,
-        total: int,
+        sample_count: int,
         lengths: predictions.LengthModel,
         rates: predictions.RateModel,
     ) -> None:
         self._policy = policy
-        self._total = total
+        self._sample_count = sample_count
         self._lengths = lengths
         self._rates = rates
         self._spent_tokens = 0
@@ -67,7 +67,7 @@
     @property
     def token_budget(self) -> float:
         """The number of tokens that hedges of this step may generate."""
-        return self._lengths.mean * self._total * self._policy.hedge_percent / 100
+        return self._lengths.mean * self._sample_count * self._policy.hedge_percent / 100
 
     @property
     def spent_tokens(self) -> int:
@@ -85,7 +85,7 @@
 
         A scan is due once enough samples are finished and the scan interval has passed.
         """
-        min_finished_count = self._total * self._policy.min_finished_percent / 100
+        min_finished_count = self._sample_count * self._policy.min_finished_percent / 100
         if not self._policy.is_active or finished_count < min_finished_count:
             return False
         if now < self._next_scan_at:
@@ -105,14 +105,14 @@
         If a sample has two attempts, both must be late. `free_slot_rate` is the rate of the
         fastest engine with a free slot, in tokens per second; None if unknown.
         """
-        typical = self._rates.typical_rate
-        if typical is None:
+        typical_rate = self._rates.typical_rate
+        if typical_rate is None:
             return []
         late: dict[int, float] = {}
         in_time = set()
         for attempt in attempts:
             number = attempt.work.number
-            seconds = self._estimate_late_seconds(attempt, typical, free_slot_rate, now)
+            seconds = self._estimate_straggler_seconds(attempt, typical_rate, free_slot_rate, now)
             if seconds is None:
                 in_time.add(number)
             else:
@@ -121,10 +121,10 @@
 
     def find_slower(self, first: work.Attempt, second: work.Attempt, now: float) -> work.Attempt:
         """Return the one of two attempts at the same sample that is expected to end later."""
-        typical = self._rates.typical_rate or 1.0
+        typical_rate = self._rates.typical_rate or 1.0
         seconds = [
             self.predict_remaining(attempt)
-            / attempt.measure_rate(typical, self._max_wait_seconds, now)
+            / attempt.measure_rate(typical_rate, self._max_wait_seconds, now)
             for attempt in (first, second)
         ]
         return first if seconds[0] > seconds[1] else second
@@ -164,8 +164,8 @@
             self._policy.min_wait_seconds, _STRAGGLER_FACTOR * self._rates.typical_wait_seconds
         )
 
-    def _estimate_late_seconds(
-        self, attempt: work.Attempt, typical: float, free_slot_rate: float | None, now: float
+    def _estimate_straggler_seconds(
+        self, attempt: work.Attempt, typical_rate: float, free_slot_rate: float | None, now: float
     ) -> float | None:
         """
         Return the seconds that a straggler still needs, or None if the attempt is not late.
@@ -175,7 +175,7 @@
         """
         if not attempt.generated_tokens and attempt.measure_elapsed(now) < self._max_wait_seconds:
             return None
-        rate = attempt.measure_rate(typical, self._max_wait_seconds, now)
+        rate = attempt.measure_rate(typical_rate, self._max_wait_seconds, now)
         tokens = self.predict_remaining(attempt)
         remaining_seconds = tokens / rate
         if (
@@ -184,10 +184,10 @@
             >= (tokens + _RESTART_COST_TOKENS) / free_slot_rate + _MIN_GAIN_SECONDS
         ):
             return remaining_seconds
-        if rate * _STRAGGLER_FACTOR >= typical:
+        if rate * _STRAGGLER_FACTOR >= typical_rate:
             return None
         elsewhere_seconds = (
-            self._rates.typical_wait_seconds + (tokens + _RESTART_COST_TOKENS) / typical
+            self._rates.typical_wait_seconds + (tokens + _RESTART_COST_TOKENS) / typical_rate
         )
         return (
             remaining_seconds
--- a/libs/samples/oleander_samples/inventory.py
+++ b/libs/samples/oleander_samples/inventory.py
@@ -59,11 +59,11 @@
         Return the numbers that were added to the set and those that were removed from it.
         """
         added = numbers - self._held
-        gone = self._held - numbers
+        removed = self._held - numbers
         self._held = numbers
         for number in added:
             self._remove_pending(number)
-        return added, gone
+        return added, removed
 
     def drop_stale(self, oldest_version: int) -> list[int]:
         """Remove pending samples with tokens older than a version; return their numbers."""
--- a/libs/samples/oleander_samples/readers.py
+++ b/libs/samples/oleander_samples/readers.py
@@ -5,7 +5,7 @@
 import expression
 
 from oleander_base import findings
-from oleander_samples import fields, held, pulls, steps
+from oleander_samples import json_fields, number_sets, pulls, steps
 
 MAX_STEP_BYTES = 16 * 1024 * 1024
 """Maximum size of the body that registers a step."""
@@ -33,13 +33,13 @@
     customer: str, trainer: str, step_text: str, body: bytes
 ) -> expression.Result[steps.Step, findings.Findings]:
     """Parse the registration of a step; `step_text` is the step number from the path."""
-    found = fields.FindingList()
+    found = json_fields.FindingList()
     number = _read_step_number(step_text, found)
-    content = fields.parse_object(body, MAX_STEP_BYTES)
+    content = json_fields.parse_object(body, MAX_STEP_BYTES)
     if content.is_error():
         found.extend(content.error)
         return expression.Error(found.build())
-    reader = fields.FieldReader(content.ok, "", found)
+    reader = json_fields.FieldReader(content.ok, "", found)
     incarnation = reader.read_integer("incarnation", 0)
     version = reader.read_integer("version", 0)
     groups = tuple(map(_read_group, reader.read_objects("groups", MAX_GROUPS)))
@@ -58,11 +58,11 @@
 
 def read_pull(body: bytes) -> expression.Result[pulls.Pull, findings.Findings]:
     """Parse a pull; the collector checks later whether the held numbers belong to the step."""
-    found = fields.FindingList()
-    content = fields.parse_object(body, MAX_PULL_BYTES)
+    found = json_fields.FindingList()
+    content = json_fields.parse_object(body, MAX_PULL_BYTES)
     if content.is_error():
         return expression.Error(content.error)
-    reader = fields.FieldReader(content.ok, "", found)
+    reader = json_fields.FieldReader(content.ok, "", found)
     pull = pulls.Pull(
         incarnation=reader.read_integer("incarnation", 0),
         version=reader.read_integer("version", 0),
@@ -75,14 +75,14 @@
     return expression.Ok(pull)
 
 
-def _read_step_number(text: str, found: fields.FindingList) -> int:
+def _read_step_number(text: str, found: json_fields.FindingList) -> int:
     if _STEP_TEXT.fullmatch(text) is None:
         found.add("step", "is not an integer of at most 15 digits")
         return 0
     return int(text)
 
 
-def _read_group(reader: fields.FieldReader) -> steps.Group:
+def _read_group(reader: json_fields.FieldReader) -> steps.Group:
     return steps.Group(
         prompt=reader.read_string("prompt", MAX_PROMPT_BYTES),
         prefix=reader.read_string("prefix", MAX_PREFIX_BYTES),
@@ -92,10 +92,10 @@
 
 
 def _read_held(
-    reader: fields.FieldReader, total: int, found: fields.FindingList
+    reader: json_fields.FieldReader, total: int, found: json_fields.FindingList
 ) -> frozenset[int]:
     text = reader.read_string("held", MAX_PULL_BYTES)
-    numbers = held.parse_numbers(text, total)
+    numbers = number_sets.parse_numbers(text, total)
     if numbers.is_ok():
         return numbers.ok
     found.extend(numbers.error)
