--- a/libs/samples/oleander_samples/backlog.py
+++ b/libs/samples/oleander_samples/backlog.py
@@ -5,6 +5,8 @@
 from oleander_samples import predictions
 
 _Rank = tuple[int, int, int]
+"""The negated predicted length, the negated number of waiting samples and the group; the smallest
+rank starts first."""
 
 
 class Backlog:
@@ -70,6 +72,7 @@
             heapq.heappush(self._group_heap, rank)
 
     def _pop_retry(self, now: float) -> int | None:
+        """Return the retry that has been due for longest, skipping removed samples."""
         while self._retries and self._retries[0][0] <= now:
             _, number = heapq.heappop(self._retries)
             if number in self._waiting:
@@ -77,6 +80,7 @@
         return None
 
     def _pop_unstarted(self) -> int | None:
+        """Return a sample of the group with the best rank, skipping outdated heap entries."""
         while self._group_heap:
             rank = heapq.heappop(self._group_heap)
             group = rank[-1]
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -58,6 +58,7 @@
         self._inventory = inventory.Inventory(step.sample_count)
         self._version = 0
         self._last_contact_at = read_now()
+        # Whether the trainer has stated which samples it holds; no work starts before that.
         self._has_stated_held = False
         self._is_closed = False
         self._latest_pull_number = 0
@@ -208,6 +209,7 @@
                 self._changed.wait(deadline.remaining)
 
     def _check_pull(self, pull: pulls.Pull) -> pulls.PullRefusal | None:
+        """Return why a pull must be refused, or None if it is valid for this step."""
         if self._is_closed:
             return pulls.PullRefusal(pulls.RefusalReason.STEP_UNKNOWN)
         if pull.incarnation < self._step.incarnation:
@@ -221,6 +223,7 @@
         return None
 
     def _check_latest_pull(self, pull_number: int) -> pulls.RefusalReason | None:
+        """Return why a waiting pull must end with a refusal, or None if it may continue."""
         if self._is_closed:
             return pulls.RefusalReason.STEP_UNKNOWN
         if pull_number != self._latest_pull_number:
@@ -245,6 +248,12 @@
         return pulls.PullAnswer(self._step.step, self._version, complete, samples)
 
     def _can_start(self) -> bool:
+        """
+        Return whether work may start now.
+
+        It may not before the trainer has stated which samples it holds, while the trainer is
+        silent, or while too much text is pending delivery.
+        """
         if not self._has_stated_held or self._is_closed:
             return False
         max_silence_seconds = (
--- a/libs/samples/oleander_samples/predictions.py
+++ b/libs/samples/oleander_samples/predictions.py
@@ -92,6 +92,7 @@
         return max(generated, min(limit, int(expected)))
 
     def _find_expected(self, group: int, generated: int) -> float:
+        """Return the weighted median length of finished samples longer than `generated`."""
         of_step = self._step.find_median_above(generated)
         if of_step is None:
             return _UNSEEN_LENGTH_FACTOR * generated
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -97,9 +97,11 @@
             if trainer is None or step.incarnation > trainer.incarnation:
                 return self._open(step, terms)
             if step.incarnation < trainer.incarnation:
-                return _refuse(RefusalReason.SUPERSEDED, f"incarnation {trainer.incarnation}")
+                return _refuse(
+                    RefusalReason.SUPERSEDED, f"incarnation {trainer.incarnation} is newer"
+                )
             if step.step < trainer.step:
-                return _refuse(RefusalReason.SUPERSEDED, f"step {trainer.step}")
+                return _refuse(RefusalReason.SUPERSEDED, f"step {trainer.step} is newer")
             if step.step > trainer.step or trainer.open_step is None:
                 return self._open(step, terms)
             return _update_registered(trainer.open_step, step)
@@ -185,6 +187,7 @@
         self._trainers[key] = trainer
 
     def _close(self, trainer: _TrainerState) -> None:
+        """Close a trainer's step, if it has an open one, and keep its cancellations."""
         if trainer.open_step is not None:
             trainer.open_step.close()
             self._cancellations.extend(trainer.open_step.take_cancellations())
@@ -197,6 +200,7 @@
 def _update_registered(
     known: collector.StepCollector, step: steps.Step
 ) -> expression.Result[collector.StepCollector, StepRefusal]:
+    """Apply a repeated registration, or refuse it if its groups differ."""
     if known.digest != step.digest:
         return _refuse(RefusalReason.CONFLICT, "the step is registered with different groups")
     if step.held is None:
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -15,8 +15,9 @@
 """Beyond this number the oldest cancellations are dropped, and their engines go on generating
 text that is discarded."""
 _INITIAL_BACKOFF_SECONDS = 0.1
-"""The longest delay before the first retry of a sample; it doubles with each failure."""
+"""The longest delay before the first retry of a sample; it doubles with each further failure."""
 _MAX_DOUBLINGS = 10
+"""Maximum number of doublings, so that the computed delay can't overflow."""
 MAX_DISCARDED_PERCENT = 25
 """For trainers that minimise staleness: the part of a sample's expected length that may be
 discarded to generate all of it with newer weights."""
@@ -213,7 +214,11 @@
         self._backlog.add_retry(number, now)
 
     def raise_oldest_version(self, version: int, now: float) -> None:
-        """Set the oldest version that may be delivered, and discard attempts with older tokens."""
+        """
+        Set the oldest weight version that may be delivered.
+
+        Attempts and partial texts with tokens of older versions are discarded at once.
+        """
         self._oldest_version = version
         stale = [item for item in self._attempts if self._is_stale(item.oldest_version)]
         for attempt in stale:
@@ -251,6 +256,7 @@
     def _start(
         self, number: int, partial: work.Partial | None, now: float, is_hedge: bool
     ) -> work.SampleWork:
+        """Add an attempt at a sample that resumes from a partial text, if there is one."""
         invariants.require(
             partial is None or not self._is_stale(partial.oldest_version),
             "resumed-is-fresh",
@@ -278,6 +284,7 @@
         return started
 
     def _start_straggler(self, now: float, free_slot_rate: float | None) -> work.SampleWork | None:
+        """Scan for stragglers if due, and hedge or migrate the first one that allows it."""
         finished_count = self._step.sample_count - self.waiting - self.running
         if self._hedges.is_scan_due(finished_count, now):
             self._stragglers.clear()
@@ -336,7 +343,7 @@
         self._backlog.update_rank(attempt.work.group)
 
     def _is_worth_restarting(self, attempt: work.Attempt) -> bool:
-        """Return whether few enough tokens have older weights to discard them and start again."""
+        """Return whether so few tokens have older weights that all of them may be discarded."""
         outdated = attempt.outdated_tokens if self._max_discarded_percent else 0
         expected = self._lengths.predict_unstarted(attempt.work.group)
         return 0 < outdated * 100 <= expected * self._max_discarded_percent
@@ -354,6 +361,7 @@
         self._cancellations.append(attempt.work.work_id)
 
     def _remove(self, work_id: str) -> work.Attempt | None:
+        """Remove an attempt and release the hedge reservations of its sample."""
         attempt = self._attempts.remove(work_id)
         if attempt is None:
             return None
@@ -371,7 +379,7 @@
         self._backlog.add_retry(number, ready_at)
 
     def _choose_backoff_seconds(self, number: int) -> float:
-        """Return a random, exponentially growing delay for a sample that fails repeatedly."""
+        """Return a random delay that doubles with each failure, to avoid a tight retry loop."""
         failures = self._failures.get(number, 0)
         self._failures[number] = failures + 1
         uncapped = math.ldexp(_INITIAL_BACKOFF_SECONDS, min(failures, _MAX_DOUBLINGS))
