--- a/features/sample_trials.py
+++ b/features/sample_trials.py
@@ -187,7 +187,7 @@
             running = sum(self._count(name)["running"] for name in ENGINES)
             return self.count_tokens() >= tokens and running == 0
 
-        support.wait_until(is_made, f"{tokens} tokens are made")
+        support.wait_until(is_made, f"{tokens} tokens are generated")
 
     def await_peers(self, count):
         """Wait until the collecting entry is connected to `count` sidecars."""
@@ -232,7 +232,7 @@
         )
         support.wait_until(
             lambda: self.count_held("trainer") == self.count_delivered("entry-a", trainer),
-            "what was made is held",
+            "all delivered samples are held",
         )
 
     def _reach_answered(self, trainer, flags):
@@ -261,7 +261,7 @@
                 item["running"] == SLOTS and item["tokens"] == SLOTS * tokens for item in counts
             )
 
-        support.wait_until(is_there, f"every slot has made {tokens} tokens")
+        support.wait_until(is_there, f"every slot has generated {tokens} tokens")
 
     def _hold_answers(self):
         self._held_relay = self._deployed.relays["trainer-entry-a"]
--- a/features/steps/samples_matrix_steps.py
+++ b/features/steps/samples_matrix_steps.py
@@ -147,7 +147,7 @@
     named = {"unheld": unheld, "unheld-twice": 2 * unheld}
     most = named[wasted] if wasted in named else int(wasted)
     made = trials.count_tokens() - sample_trials.SAMPLES * sample_trials.SAMPLE_TOKENS
-    assert made <= most, f"{made} tokens beyond a step's, {trials.held_at_stage} samples were held"
+    assert made <= most, f"{made} wasted tokens, {trials.held_at_stage} samples were held"
 
 
 @behave.then(
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -78,14 +78,14 @@
 
 
 @behave.given(
-    "a text of {count:d} pieces whose engine turns {slower:g} times slower after {after:d} pieces"
+    "a text of {count:d} pieces whose engine becomes {slower:g} times slower after {after:d} pieces"
 )
 def slow_down(context, count, slower, after):
     context.pieces = context.step.list_pieces(count, slow_after=after, slower=slower)
 
 
 @behave.given(
-    "a text of {count:d} pieces whose engine stands still for {pause:d} ms after {after:d} pieces"
+    "a text of {count:d} pieces whose engine stalls for {pause:d} ms after {after:d} pieces"
 )
 def stand_still(context, count, pause, after):
     context.pieces = context.step.list_pieces(count, slow_after=after, pause=pause / 1000)
--- a/features/stragglers.feature
+++ b/features/stragglers.feature
@@ -7,7 +7,7 @@
     # step is late and the trainer falls behind for the rest of the day. The text may lose half of its
     # own time, 50 pieces, or all of it if that is little over a second.
     Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
-    And a text of 100 pieces whose engine turns <slower> times slower after 30 pieces
+    And a text of 100 pieces whose engine becomes <slower> times slower after 30 pieces
     Then the text is moved before it has <pieces> pieces
 
     Examples:
@@ -30,11 +30,11 @@
 
     Examples:
       | gap | wait | what                                                       |
-      | 12  | 0    | whose engine stands still for 300 ms after 30 pieces       |
-      | 37  | 0    | whose engine stands still for 900 ms after 30 pieces       |
-      | 75  | 800  | whose engine stands still for 900 ms after 30 pieces       |
-      | 37  | 0    | whose engine turns 1.5 times slower after 30 pieces        |
-      | 75  | 800  | whose engine turns 1.5 times slower after 30 pieces        |
+      | 12  | 0    | whose engine stalls for 300 ms after 30 pieces       |
+      | 37  | 0    | whose engine stalls for 900 ms after 30 pieces       |
+      | 75  | 800  | whose engine stalls for 900 ms after 30 pieces       |
+      | 37  | 0    | whose engine becomes 1.5 times slower after 30 pieces        |
+      | 75  | 800  | whose engine becomes 1.5 times slower after 30 pieces        |
       | 37  | 1200 | that waits for 1500 ms                                     |
       | 75  | 2000 | that waits for 3000 ms                                     |
 
--- a/libs/batches/oleander_batches/index_reader.py
+++ b/libs/batches/oleander_batches/index_reader.py
@@ -176,6 +176,7 @@
             return sorted(location.content_offset for location in batch.partials.values())
 
     def _read_page(self, wait_ms: int, deadline: clock.Deadline) -> bool:
+        """Read and apply the next page of the index; return False if the read failed."""
         started_at = clock.read_now()
         offset = self._next_offset
         page = self._log.read(TOPIC, PARTITION, offset, wait_ms, deadline)
