--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -78,7 +78,8 @@
 
 
 @behave.given(
-    "a text of {count:d} pieces whose engine becomes {slower:g} times slower after {after:d} pieces"
+    "a text of {count:d} pieces"
+    " whose engine becomes {slower:g} times slower after {after:d} pieces"
 )
 def slow_down(context, count, slower, after):
     context.pieces = context.step.list_pieces(count, slow_after=after, slower=slower)
