--- a/programs/oleanderdeal/oleanderdeal/key_inquiry.py
+++ b/programs/oleanderdeal/oleanderdeal/key_inquiry.py
@@ -22,10 +22,10 @@
     """
     Determines whether a key without a known claim may have run.
 
-    Asks all linked sidecars of the operation's backend, for half a second at most; the limit on the
-    entry's links bounds their number. The key may have run at a sidecar that does not answer, one
-    whose link was lost since the claims were last read, or one that this entry has no link to; the
-    caller is then told "unknown".
+    Asks all linked sidecars of the operation's backend, for half a second at most; the limit on
+    the entry's links bounds their number. The key may have run at a sidecar that does not answer,
+    one whose link was lost since the claims were last read, or one that this entry has no link to;
+    the caller is then told "unknown".
     """
 
     def __init__(self, claims: book.ClaimBook, links: peers.PeerLinks) -> None:
