--- a/features/configuration_deployment.py
+++ b/features/configuration_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment whose configuration changes, and what each of its processes shows of it."""
+"""A small deployment that changes its configuration and checks which change each process uses."""
 
 import http.client
 import json
@@ -19,7 +19,7 @@
 PAUSE = signal.SIGSTOP
 RESUME = signal.SIGCONT
 TIMEOUT_SECONDS = 20
-"""How long a change may take before a scenario fails; far above what is measured."""
+"""How long a change may take before a scenario fails; changes normally take far less."""
 RELAYS = tuple(
     f"log-{name}" for name in (*deployments.ENTRIES, *(host.name for host in deployments.DESKS))
 ) + tuple(f"link-{host.name}" for host in deployments.DESKS)
@@ -34,10 +34,10 @@
 
 class ConfigurationDeployment(deployments.SmallDeployment):
     """
-    Publishes numbered contracts; number N has the one operation `change-N`.
+    Publishes numbered contracts; contract N has a single operation, `change-N`.
 
-    The operation may not be repeated, so a call without a key is answered 400 where the contract
-    is in force and 404 where it is not, and nothing ever runs.
+    The operation is not repeatable, so a call without an idempotency key gets status 400 if the
+    entry uses contract N and 404 if not, and no call is ever run.
     """
 
     def __init__(self, cluster, entry_flags=()):
@@ -50,22 +50,22 @@
         self._watchers = []
 
     def run_for_each(self, task, names):
-        """Do the same with several processes at once."""
+        """Run a task for several processes concurrently."""
         self._run_all((task, name) for name in names)
 
     def append_change(self):
-        """Append the next contract, based on the one in force, past every fault of the log."""
+        """Append the next contract, based on the current one, to the log, bypassing relays."""
         self.number += 1
         record = records.ContractRecord(create_contract(self.number), self.offset, "ann")
         self.offset = self.append(record.to_value())
 
     def append(self, *values):
-        """Append records straight to the log; return the first offset."""
+        """Append records directly to the log; return the offset of the first."""
         url = f"{self.cluster.url('log')}/streams/{records.STREAM}/records"
         return support.call("POST", url, {"records": values}).read_json()["first_offset"]
 
     def apply_stream(self):
-        """Fold what the log holds; return the fold, and each record with its verdict."""
+        """Apply the log's records; return the resulting fold, and each record with its verdict."""
         folded = fold.ConfigurationFold()
         judged = []
         for item in self.read_stream(records.STREAM):
@@ -75,7 +75,7 @@
         return folded, judged
 
     def read_change_status(self, entry, number):
-        """Return how an entry answers for one change: in force, missing, or the problem."""
+        """Return an entry's answer for a change: "in force", "missing", a reason or a status."""
         url = f"{self.cluster.url(entry)}/v1/customers/{CUSTOMER}/operations/change-{number}"
         headers = self.deployed.write_headers(CUSTOMER)
         response = processes.call("POST", url, b"", headers, _PROBE_SECONDS)
@@ -85,7 +85,7 @@
         return known.get(response.status, f"status {response.status}")
 
     def read_offset(self, name):
-        """Return how far a process is; -2 where it can't be asked."""
+        """Return the offset that a process has applied, or -2 if it can't be reached."""
         try:
             if name in deployments.ENTRIES:
                 return self.read_configuration(name)["applied_offset"]
@@ -94,7 +94,7 @@
             return -2
 
     def await_change(self, number, names):
-        """Wait until the entries answer by a change alone, and sidecars have its record."""
+        """Wait until entries use a change, not the previous one, and sidecars have its record."""
         for name in names:
             support.wait_until(
                 lambda name=name: self.read_offset(name) >= self.offset,
@@ -110,7 +110,7 @@
                 assert self.read_change_status(name, number - 1) == "missing", name
 
     def start_watching(self):
-        """Keep asking the entries by which change they answer, until `stop_watching`."""
+        """Poll the entries for the change that they use until stop_watching()."""
         self.seen_changes = {name: [] for name in deployments.ENTRIES}
         self._is_watching.set()
         self._watchers = [
@@ -121,7 +121,7 @@
             thread.start()
 
     def stop_watching(self):
-        """End the watch, and return the changes that each entry answered by, in order."""
+        """Stop polling; return the changes that each entry used, in order."""
         self._is_watching.clear()
         for thread in self._watchers:
             thread.join()
@@ -129,7 +129,7 @@
         return self.seen_changes
 
     def recover(self):
-        """End every fault, and start again what was killed."""
+        """End every fault, and restart the processes that were killed."""
         self.cluster.control(
             "log", outage="", slow_ms=0, lose_before=0, lose_after=0, late=0, retention=100_000
         )
@@ -143,7 +143,7 @@
         self.await_entries()
 
     def start_publish(self, by, number, wait_ms=8000):
-        """Start the operators' command with a change; it runs as a process of its own."""
+        """Start the publish command with a change as a separate process, and return it."""
         arguments = ["publish", "--by", by, "--log_url", self.cluster.url("log")]
         arguments += ["--wait_ms", str(wait_ms), "--log_timeout_ms", "1000"]
         child = subprocess.Popen(
@@ -170,12 +170,12 @@
         try:
             return self.read_change_status(name, number)
         except (OSError, http.client.HTTPException, KeyError):
-            # It is down, or about to be replaced.
+            # The entry is down or being replaced.
             return "no answer"
 
 
 def create_contract(number):
-    """Return the contract of a change."""
+    """Return the contract for a change's number."""
     operation = contract.Operation(
         f"change-{number}", "desk", contract.Priority.CRITICAL, False, 2000, 1, False
     )
@@ -183,7 +183,7 @@
 
 
 def read_sidecar_offset(address):
-    """Link to a sidecar as an entry does, and return the offset of its first heartbeat."""
+    """Link to a sidecar as an entry does, and return the offset in its first heartbeat."""
     hello = messages.Hello(messages.PROTOCOL, "probe", "probe", "a", deployment.PROCESS_TOKEN)
     deadline = clock.start_deadline(_PROBE_SECONDS)
     dialled = link.dial_link(address, deadline)
@@ -204,7 +204,7 @@
 
 
 def serve_false_offset(opened):
-    """Serve an entry's link as a sidecar that tells of newer records and sends none."""
+    """Serve an entry's link like a sidecar that reports a higher offset but sends no records."""
     opened.receive(clock.start_deadline(_PROBE_SECONDS))
     opened.send(messages.Hello(messages.PROTOCOL, "boast", "boast", "a", ""))
     beat = messages.Heartbeat("none", 0, 0, 1, 0, None, False, False, FALSE_OFFSET, 0)
--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -1,7 +1,7 @@
 Feature: A small deployment as separate processes
 
-  Scenario Outline: A request is answered, and again with the same answer
-    # Faults before the request that are over when it comes; the caller sees an ordinary answer.
+  Scenario Outline: A repeated request gets the same answer
+    # The faults end before the request is sent, so the caller gets an ordinary answer.
     Given a small deployment with the relays link-desk-a, link-desk-b, service-desk-a, log-entry-a
     When the process <process> is killed
     And the process <process> is restarted
--- a/features/deployment_pool.py
+++ b/features/deployment_pool.py
@@ -1,4 +1,4 @@
-"""Deployments that scenarios share, one after the other."""
+"""A pool of deployments that scenarios reuse."""
 
 import concurrent.futures
 
@@ -8,10 +8,10 @@
 
 class DeploymentPool:
     """
-    Keeps deployments that scenarios left whole, and starts one ahead when none is left.
+    Keeps deployments for reuse, and starts one in advance when none is left.
 
-    Starting takes a second, most of it spent on importing in each process, which is as long as
-    many a scenario. A scenario that ended a process, or failed, gives nothing back.
+    Starting one takes a second, mostly for imports in each process, which is as long as many
+    scenarios take. A scenario that failed or ended a process does not return its deployment.
     """
 
     def __init__(self):
@@ -20,7 +20,7 @@
         self._available = []
 
     def take(self, relays):
-        """Return a deployment with these relays whose faults are all over."""
+        """Return a deployment with these relays and without faults."""
         if self._relays != relays:
             self.stop()
         self._relays = relays
@@ -30,13 +30,13 @@
         return taken
 
     def give_back(self, deployment):
-        """Keep a deployment for the next scenario, which must use other keys."""
+        """Return a deployment to the pool; the next scenario must use other idempotency keys."""
         kept = concurrent.futures.Future()
         kept.set_result(deployment)
         self._available.append(kept)
 
     def stop(self):
-        """End all that are kept."""
+        """Stop all deployments in the pool."""
         while self._available:
             self._available.pop().result().cluster.stop()
 
--- a/features/deployments.py
+++ b/features/deployments.py
@@ -1,4 +1,4 @@
-"""A small deployment whose scenario can stop, pause and cut off each part of it."""
+"""A small deployment whose parts a scenario can stop, pause and cut off."""
 
 import concurrent.futures
 import http.client
@@ -12,7 +12,8 @@
 
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "docs" / "examples"
 LONG_CUSTOMER = "long"
-"""Its operations wait for half a minute, so that an early answer can be told from a late one."""
+"""A customer whose operations time out after half a minute, so that an early answer can be
+distinguished from one at the timeout."""
 _LONG_CONTRACT = """
 customer: long
 share_percent: 50
@@ -38,12 +39,12 @@
 
 class SmallDeployment:
     """
-    The platform, some hosts with sidecars, and two entries, all started at once.
+    The platform, some hosts with sidecars, and two entries, started concurrently.
 
-    A relay is named after what it leads to and who uses it: `link-desk-a` stands between the
-    entries and a sidecar, `service-desk-a` between a sidecar and its backend server, and
-    `log-entry-a` between an entry and the log, `trainer-entry-a` between trainers and an entry.
-    Only those that were asked for are started.
+    Relays between the processes inject network faults. They are named after the connection:
+    `link-desk-a` is between the entries and a sidecar, `service-desk-a` between a sidecar and its
+    backend server, `log-entry-a` between an entry and the log, and `trainer-entry-a` between
+    trainers and an entry. Only the relays passed to the constructor are started.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
 
     @property
     def has_own_settings(self):
-        """Whether it was started with settings that other scenarios don't expect."""
+        """Whether it was started with non-default entry flags, so that it can't be reused."""
         return bool(self._entry_flags)
 
     @property
@@ -80,7 +81,7 @@
         return [host.server_name for host in self.hosts.values()]
 
     def start(self):
-        """Start everything and put the contracts in force at every entry."""
+        """Start all processes, and wait until every entry has applied the contracts."""
         terms = read_contracts(self._contracts)
         for item in terms:
             self.deployed.add_customer(item.customer)
@@ -108,12 +109,12 @@
             )
 
     def await_peers(self, count):
-        """Wait until each running entry has links to exactly so many sidecars."""
+        """Wait until each running entry has links to exactly `count` sidecars."""
         for name in self.list_running_entries():
             self.await_entry_peers(name, count)
 
     def await_entry_peers(self, name, count):
-        """Wait until an entry has links to exactly so many sidecars."""
+        """Wait until an entry has links to exactly `count` sidecars."""
         try:
             support.wait_until(
                 lambda: self.read_configuration(name)["peers"] == count,
@@ -123,17 +124,17 @@
             raise AssertionError(f"{error}; it says {self.read_configuration(name)}") from error
 
     def list_running_entries(self):
-        """Return the entries that have not been ended."""
+        """Return the entries whose process is running."""
         return [name for name in self.entries if self.cluster.find(name).code is None]
 
     def read_configuration(self, entry):
-        """Return what an entry says of its configuration and peers."""
+        """Return an entry's report of its configuration and peers."""
         url = f"{self.cluster.url(entry)}/v1/configuration"
         headers = self.deployed.write_headers("operator")
         return support.call("GET", url, None, headers).read_json()
 
     def start_sidecar(self, name):
-        """Start a sidecar, or start it anew; a relay before it keeps its address."""
+        """Start or restart a sidecar; its relay, if any, keeps its address."""
         link = self.relays.get(f"link-{name}")
         self.deployed.start_sidecar(
             name,
@@ -145,21 +146,21 @@
             link.target = self.cluster.address(name)
 
     def start_entry(self, name):
-        """Start an entry, or start it anew."""
+        """Start or restart an entry."""
         log_url = self._route_through_relay("log", name)
         self.deployed.start_entry(name, name[6], *self._entry_flags, log_url=log_url)
         if f"trainer-{name}" in self.relays:
             self.relays[f"trainer-{name}"].target = self.cluster.address(name)
 
     def start_server(self, name):
-        """Start a backend server anew where it listened before."""
+        """Restart a backend server on the same port."""
         host = self.find_host(name)
         port = self.cluster.address(name).rpartition(":")[2]
         with self._runs_lock:
             self.deployed.start_backend_server(host.name, int(port))
 
     def restart(self, name):
-        """Start a process that has ended."""
+        """Restart a process that has ended."""
         if name in self.hosts:
             self.start_sidecar(name)
         elif name in self.entries:
@@ -172,11 +173,11 @@
         return next(item for item in self.hosts.values() if item.server_name == server_name)
 
     def is_service(self, name):
-        """Return whether a name is that of a plain service."""
+        """Return whether a process is a plain service, not an engine."""
         return name in self.server_names and self.find_host(name).kind == "service"
 
     def kill(self, name):
-        """End a process as a crash would; what a service counted until then is kept."""
+        """Kill a process as in a crash; the runs that a service counted are kept."""
         self.is_reusable = False
         with self._runs_lock:
             if self.is_service(name):
@@ -185,18 +186,18 @@
             self.cluster.kill(name)
 
     def terminate(self, name):
-        """Ask a process to stop; return its exit code."""
+        """Send SIGTERM to a process; return its exit code."""
         self.is_reusable = False
         return self.cluster.terminate(name)
 
     def freeze(self, name):
-        """Pause a process, and wait until it stands still."""
+        """Pause a process, and wait until it is stopped."""
         self.cluster.freeze(name)
         pid = self.cluster.find(name).pid
         support.wait_until(lambda: is_frozen(pid), f"{name} is paused")
 
     def count_runs(self, key):
-        """Return how often all services together, the ended ones too, ran a key."""
+        """Return how often services ran a key in total, including services that have ended."""
         services = [name for name in self.server_names if self.is_service(name)]
         with self._runs_lock:
             alive = [name for name in services if self.cluster.find(name).code is None]
@@ -204,7 +205,7 @@
             return now + self._ended_process_runs.get(key, 0)
 
     def is_ready(self, entry):
-        """Return whether an entry's readiness check says that a balancer may send to it."""
+        """Return whether an entry passes its readiness check."""
         try:
             return support.call("GET", f"{self.cluster.url(entry)}/readyz").status == 200
         except (OSError, http.client.HTTPException):
@@ -216,7 +217,7 @@
             support.wait_until(lambda name=name: self.is_ready(name), f"{name} is ready")
 
     def await_usable(self, count):
-        """Wait until each entry gives new work to so many sidecars."""
+        """Wait until each entry considers exactly `count` sidecars usable for new work."""
         for name in self.entries:
             support.wait_until(
                 lambda name=name: self.read_configuration(name)["usable"] == count,
@@ -229,11 +230,11 @@
         return support.call("GET", url).read_json()["records"]
 
     def submit(self, task, *arguments):
-        """Run a task on a thread of its own."""
+        """Run a task on the thread pool; return its future."""
         return self._pool.submit(task, *arguments)
 
     def call(self, entry, customer, operation, body, key="", timeout_ms=0):
-        """Send a caller's request; return nothing where the connection was cut."""
+        """Send a caller's request; return None if the connection was cut."""
         arguments = (entry, customer, operation, body, key, timeout_ms, _CALL_TIMEOUT_SECONDS)
         try:
             return self.deployed.call(*arguments)
@@ -241,7 +242,7 @@
             return None
 
     def start_call(self, name, entry, customer, operation, body, key="", timeout_ms=0):
-        """Send a caller's request on a thread of its own; the answer is kept under the name."""
+        """Send a caller's request on the thread pool; its answer is kept under the name."""
         arguments = (entry, customer, operation, body, key, timeout_ms)
         self._calls[name] = self.submit(self.call, *arguments)
 
@@ -250,7 +251,7 @@
         return self._calls[name].done()
 
     def read_answer(self, name):
-        """Return a caller's answer once it has come, or nothing where the connection was cut."""
+        """Wait for a caller's answer and return it, or None if the connection was cut."""
         return self._calls[name].result()
 
     def _is_ready(self, entry, offset):
@@ -263,7 +264,7 @@
         return self.cluster.read_control(service).get("runs_by_key", {})
 
     def _route_through_relay(self, kind, user):
-        """Return the URL of the relay to what a process uses; empty where there is none."""
+        """Connect the relay of a kind for a process; return its URL, or "" without a relay."""
         found = self.relays.get(f"{kind}-{user}")
         if found is None:
             return ""
@@ -272,7 +273,7 @@
         return found.url
 
     def _list_relayed_host(self, host):
-        """List a host whose sidecar is reached through a relay."""
+        """Add a host to the host list under its relay's address, if it has a relay."""
         link = self.relays.get(f"link-{host}")
         if link is not None:
             self.deployed.list_host(host, link.address)
@@ -291,19 +292,19 @@
 
 
 def read_contracts(more=()) -> list[contract.Contract]:
-    """Return the example contracts, one with long timeouts, and more given as texts."""
+    """Return the example contracts, the one with long timeouts, and those given as YAML."""
     texts = [path.read_text() for path in sorted(EXAMPLES.glob("*.yaml"))]
     return [readers.read_contract(text, "scenario").ok for text in [*texts, _LONG_CONTRACT, *more]]
 
 
 def is_frozen(pid):
-    """Return whether a process is paused by a signal."""
+    """Return whether a process is stopped by a signal (state T)."""
     status = pathlib.Path(f"/proc/{pid}/stat").read_text()
     return status.rpartition(")")[2].split()[0] == "T"
 
 
 def read_outcome(response):
-    """Return an answer's outcome and reason as one text; `cut` where there was none."""
+    """Return an answer's outcome and reason as one string, or "cut" if there was none."""
     if response is None:
         return "cut"
     if response.status == 200:
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,13 +1,13 @@
 Feature: A backend server that is leaving receives no new work
 
-  Scenario Outline: A desk leaves while callers go on asking
-    # Callers see every call answered, and the desk that leaves starts none of those made once the
-    # entries know of it, by whichever way. The call that it was running is answered in whole.
-    Given <count> desks, whose leaving is watched
+  Scenario Outline: A desk leaves while calls keep arriving
+    # Every call is answered. However the entries learn that a desk is leaving, it starts no call
+    # made after that, and the call that it was running still gets its complete answer.
+    Given <count> desks whose leaving is observed
     And a charge is held at each of the leaving desks <leaving>
     When the leaving desks <way>, the host list being <list>
-    Then 20 calls more are done, and none of them by a leaving desk
-    When the held calls of the leaving desks are let go
+    Then 20 more calls are done, and none of them by a leaving desk
+    When the held calls of the leaving desks are released
     Then the held calls of the desks are done, each charge once
 
     Examples:
@@ -25,47 +25,47 @@
       | 3     | desk-a desk-c        | are told                                 | up     |
       | 4     | desk-a desk-b desk-d | are told                                 | emptied |
 
-  Scenario: A host list that was wrong is followed again once it is right
-    # Callers are refused while the list says that every desk is leaving, which may be true. When
-    # it is put right they are answered again; no process needs a restart for it.
-    Given 2 desks, whose leaving is watched
+  Scenario: Entries follow a wrong host list again once it is corrected
+    # Callers are refused while the list says that every desk is leaving, which may be true. Once it
+    # is corrected they are answered again, without a restart of any process.
+    Given 2 desks whose leaving is observed
     When the host list says that desk-a desk-b leave
     Then the entries use 0 desks
-    When the host list is put right
+    When the host list is corrected
     Then the entries use 2 desks
-    And 10 calls more are done
+    And 10 more calls are done
 
-  Scenario: What waits at a desk that leaves is taken elsewhere
-    # Sixteen callers wait, and only eight calls have a slot. The desk that leaves finishes the four
-    # that it runs and begins no other; those that waited for it are answered by the other desk.
-    Given 2 desks, whose leaving is watched
+  Scenario: Calls queued at a leaving desk are sent to another desk
+    # There are sixteen calls and eight slots. The leaving desk finishes the four calls that it runs
+    # and starts no other; the calls queued there are answered by the other desk.
+    Given 2 desks whose leaving is observed
     And 16 calls are held at the desks or wait for them, desk-a being the one to leave
     When the leaving desks are told, the host list being up
-    And the held calls of the other desks are let go
-    Then 12 of the held calls are done before the leaving desks let go
-    When the held calls of the leaving desks are let go
+    And the held calls of the other desks are released
+    Then 12 of the held calls are done before those of the leaving desks are released
+    When the held calls of the leaving desks are released
     Then the held calls of the desks are done, each charge once
-    And the leaving desks began none since they were told
+    And the leaving desks started no call since they were told
     And the sidecars of the leaving desks have ended with exit code 0
 
-  Scenario: A request that comes late to a desk that leaves is refused as not run
-    # An entry that was paused sends what it had chosen a desk for before it was told. The desk has
-    # left by then, but still runs a call, so its sidecar is there to refuse.
-    Given 2 desks, whose leaving is watched
+  Scenario: A late request to a leaving desk is refused as not run
+    # An entry that was paused sends a request to a desk that it chose before it learned that the desk
+    # is leaving. The desk still runs a call, so its sidecar is up and refuses the request.
+    Given 2 desks whose leaving is observed
     And a charge is held at each of the leaving desks desk-a
     When the leaving desks are told, the host list being up
     Then a late request to the desk desk-a is answered not-run leaving
-    And the leaving desks began none since they were told
+    And the leaving desks started no call since they were told
 
   Scenario Outline: An entry that was paused sends a claimed request late
-    # The caller waits at an entry that is frozen between its claim and its request, while the
-    # claimed desk is told to leave. Thawed, the entry sends the request all the same, or finds the
-    # sidecar gone; it is told that it did not run, claims anew, and the other desk runs it, once.
-    Given 2 desks, whose leaving is watched
+    # An entry is frozen between its claim and its request while the claimed desk is told to leave.
+    # Once thawed, the entry sends the request anyway, or finds the sidecar gone. It learns that the
+    # request did not run, appends a new claim, and the other desk runs the request exactly once.
+    Given 2 desks whose leaving is observed
     And a charge is held at each of the leaving desks <held>
     And the charge late is claimed at entry-a, which is then frozen
     When the claimed desk is told to leave and <state>
-    And entry-a goes on, and the desks let their calls go
+    And entry-a is thawed, and the desks release their calls
     Then the charge late is done, by the other desk
     And the held calls of the desks are done, each charge once
 
--- a/features/leaving.py
+++ b/features/leaving.py
@@ -1,4 +1,4 @@
-"""Desks that leave while calls are held at them, and callers who go on asking."""
+"""Holds calls at desks that leave, and makes more calls meanwhile."""
 
 import concurrent.futures
 import itertools
@@ -15,7 +15,7 @@
 
 
 def describe_desks(count):
-    """Return so many hosts with a desk, named desk-a and so on."""
+    """Return `count` hosts with a desk service, named desk-a, desk-b and so on."""
     return tuple(
         deployment.BackendHost(f"desk-{letter}", "desk", "service", letter)
         for letter in "abcdef"[:count]
@@ -23,7 +23,7 @@
 
 
 class Desks:
-    """The desks of a deployment, the calls held at them, and more calls by the way."""
+    """The desk services of a deployment, and the calls held at them."""
 
     def __init__(self, deployed):
         self._deployed = deployed
@@ -33,7 +33,7 @@
         self.held_keys = []
 
     def hold(self, names, operation):
-        """Start calls until each of the desks holds one; other desks answer at once."""
+        """Start calls until each of the desks holds one; other desks answer immediately."""
         for name in names:
             self._cluster.control(self._find_server_name(name), hold=True)
         for name in names:
@@ -41,7 +41,7 @@
                 self._start_held(operation)
 
     def fill_slots(self, count):
-        """Hold all desks and start so many calls, some of which have to wait for a slot."""
+        """Make all desks hold calls, and start more calls than there are slots."""
         for name in self._names:
             self._cluster.control(self._find_server_name(name), hold=True)
         for number in range(count):
@@ -50,15 +50,15 @@
         support.wait_until(lambda: self._count_all("holding") == slots, "every slot is taken")
 
     def release(self, name):
-        """Let a desk answer."""
+        """Let a desk answer the calls that it holds."""
         self._cluster.control(self._find_server_name(name), release=True)
 
     def count_ended(self):
-        """Return how many of the calls have ended."""
+        """Return how many of the held calls have ended."""
         return sum(self._deployed.is_answered(key) for key in self.held_keys)
 
     def check_held(self):
-        """Check that every call was answered as done, and ran once if it may not be repeated."""
+        """Check that every held call is done, and that each charge ran exactly once."""
         for key in self.held_keys:
             outcome = deployments.read_outcome(self._deployed.read_answer(key))
             assert outcome == "done", f"{key}: {outcome}"
@@ -66,11 +66,11 @@
                 assert self._deployed.count_runs(key) == 1, key
 
     def read_counts(self, name):
-        """Return what the desk of a host counted."""
+        """Return the counters of a host's desk."""
         return self._cluster.read_control(self._find_server_name(name))
 
     def make_calls(self, count, operations=("charge", "look-up")):
-        """Make so many calls through all entries, which must all be answered as done."""
+        """Make `count` calls through all entries in turn, and check that all are done."""
         entries = itertools.cycle(self._deployed.entries)
         chosen = itertools.cycle(operations)
         with concurrent.futures.ThreadPoolExecutor(_MAX_THREADS) as pool:
@@ -82,10 +82,10 @@
 
     def send_late_request(self, name):
         """
-        Send a request straight to a sidecar that says that it leaves; return outcome and reason.
+        Send a request directly to a sidecar that is leaving; return its outcome and reason.
 
-        A signal is acted on a while after it was sent, on a busy machine after a request that was
-        sent later: that one is run, and rightly so.
+        This first waits for a heartbeat that reports leaving. On a busy machine the sidecar may
+        handle the signal only after a request that was sent later, and then rightly run it.
         """
         address = self._cluster.address(name)
         opened = link.dial_link(address, clock.start_deadline(_LINK_TIMEOUT_SECONDS)).ok
@@ -132,7 +132,7 @@
         received = opened.receive(deadline).ok
         if isinstance(received, kind):
             return received
-    raise AssertionError(f"no {kind.__name__} came")
+    raise AssertionError(f"no {kind.__name__} was received")
 
 
 def _create_run(incarnation):
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -1,4 +1,4 @@
-"""Steps for changes of the configuration that meet faults, over real processes."""
+"""Steps for configuration changes during faults, with real processes."""
 
 import json
 import tempfile
@@ -33,7 +33,7 @@
 
 
 class _SharedDeployment:
-    """One deployment for all scenarios that leave it whole; after a failure there is a new one."""
+    """A deployment shared by scenarios; one that fails to restore it causes a new start."""
 
     parts = None
     is_reusable = False
@@ -128,13 +128,13 @@
     context.parts.await_change(context.parts.number, _split(names))
 
 
-@behave.step("in the configuration matrix {names} still answer by the first change")
+@behave.step("in the configuration matrix {names} still use the first change")
 def check_first(context, names):
     for name in _split(names):
         assert context.parts.read_change_status(name, context.base + 1) == "in force", name
 
 
-@behave.step("in the configuration matrix {names} serve nothing and say so")
+@behave.step("in the configuration matrix {names} answer every request with starting")
 def check_starting(context, names):
     parts = context.parts
     for name in _split(names):
@@ -142,8 +142,8 @@
             lambda name=name: parts.read_configuration(name)["peers"] >= len(parts.hosts),
             f"{name} has peers",
         )
-    # An entry that took its peers' silence for a configuration would do so a second after the
-    # first of them was heard; so it is asked for longer than that.
+    # An entry that wrongly served an empty configuration would do so one second after the first
+    # peer's heartbeat, so it is polled for longer than that.
     for _ in range(_STARTING_CHECKS):
         for name in _split(names):
             assert parts.read_change_status(name, parts.number) == "starting", name
@@ -152,7 +152,7 @@
         time.sleep(_CHECK_INTERVAL_SECONDS)
 
 
-@behave.then("the configuration matrix is whole again, and nobody went back")
+@behave.then("the configuration matrix has recovered, and no entry reverted to an older change")
 def check_recovered(context):
     parts = context.parts
     parts.recover()
@@ -179,7 +179,7 @@
 
 
 def _record_accepted_offset(context, number):
-    """Take from the log where a change was accepted, which must be at one place only."""
+    """Record the log offset of the one record that was accepted for a change."""
     parts = context.parts
     _, judged = parts.apply_stream()
     found = [
@@ -328,7 +328,7 @@
     assert (ended.returncode, told in ended.stdout) == (int(status), True), ended.stdout
 
 
-@behave.then("show in the configuration matrix tells the newest change")
+@behave.then("show in the configuration matrix prints the newest change")
 def show_newest(context):
     show(context, f"0 change-{context.parts.number}")
 
@@ -351,7 +351,7 @@
     )
 
 
-@behave.when("a sidecar joins the configuration matrix that tells of newer records and sends none")
+@behave.when("a sidecar that reports newer records but sends none joins the configuration matrix")
 def join_false_offset_peer(context):
     served = link.LinkServer("127.0.0.1", 0, configuration_deployment.serve_false_offset, 8)
     threading.Thread(target=served.serve, daemon=True).start()
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start a small deployment and stop, pause or cut off its parts, for any promise."""
+"""Steps that start a small deployment and stop, pause or cut off its parts."""
 
 import behave
 
@@ -11,7 +11,7 @@
 
 
 def start_deployment(context, relays="", **options):
-    """Start a deployment that ends with the scenario, and return it."""
+    """Start a deployment that is stopped after the scenario, and return it."""
     cluster = support.get_cluster(context)
     context.deployment = deployments.SmallDeployment(cluster, _split(relays), **options)
     context.deployment.start()
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps for backend servers that leave."""
+"""Steps for desks that stop taking new work."""
 
 import signal
 
@@ -10,7 +10,7 @@
 import support
 
 
-@behave.given("{count:d} desks, whose leaving is watched")
+@behave.given("{count:d} desks whose leaving is observed")
 def start_desks(context, count):
     hosts = leaving.describe_desks(count)
     links = [f"link-{host.name}" for host in hosts]
@@ -33,7 +33,7 @@
 
 
 def _await_list_read(context):
-    """Wait until each entry has read the list as it is now, and acted on it."""
+    """Wait until each entry has read the current list and applied it."""
     count = 2 * len(context.deployment.entries) + 1
     before = _count_list_reads(context)
     support.wait_until(
@@ -102,7 +102,7 @@
         _WAYS_TO_LEAVE[way](context, name)
 
 
-@behave.then("{count:d} calls more are done, and none of them by a leaving desk")
+@behave.then("{count:d} more calls are done, and none of them by a leaving desk")
 def check_no_new_work(context, count):
     left = len(context.deployment.hosts) - len(context.runs)
     context.deployment.await_usable(left)
@@ -111,7 +111,7 @@
     assert now == context.runs, f"{context.runs} became {now}"
 
 
-@behave.when("the held calls of the leaving desks are let go")
+@behave.when("the held calls of the leaving desks are released")
 def release_calls(context):
     for name in context.leaving:
         context.desks.release(name)
@@ -136,7 +136,7 @@
         _list_leaving(context, name)
 
 
-@behave.when("the host list is put right")
+@behave.when("the host list is corrected")
 def correct_list(context):
     context.deployment.cluster.control("hosts", set=context.listed)
 
@@ -146,7 +146,7 @@
     context.deployment.await_usable(count)
 
 
-@behave.then("{count:d} calls more are done")
+@behave.then("{count:d} more calls are done")
 def check_calls(context, count):
     context.desks.make_calls(count)
 
@@ -159,18 +159,18 @@
     context.desks.fill_slots(count)
 
 
-@behave.when("the held calls of the other desks are let go")
+@behave.when("the held calls of the other desks are released")
 def release_others(context):
     for name in set(context.deployment.hosts) - set(context.leaving):
         context.desks.release(name)
 
 
-@behave.then("{count:d} of the held calls are done before the leaving desks let go")
+@behave.then("{count:d} of the held calls are done before those of the leaving desks are released")
 def await_ended_calls(context, count):
     support.wait_until(lambda: context.desks.count_ended() == count, f"{count} calls are answered")
 
 
-@behave.then("the leaving desks began none since they were told")
+@behave.then("the leaving desks started no call since they were told")
 def check_no_runs_since(context):
     now = {name: context.desks.read_counts(name)["runs"] for name in context.runs}
     assert now == context.runs, f"{context.runs} became {now}"
@@ -198,7 +198,7 @@
     context.runs = {context.claimed: context.desks.read_counts(context.claimed)["runs"]}
 
 
-@behave.when("entry-a goes on, and the desks let their calls go")
+@behave.when("entry-a is thawed, and the desks release their calls")
 def thaw_claimant(context):
     context.deployment.cluster.thaw("entry-a")
     context.claim.release()
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -22,7 +22,7 @@
     context.work.start()
 
 
-@behave.when("the {kind} with a part in it is told to stop")
+@behave.when("the {kind} involved in it is told to stop")
 def request_stop(context, kind):
     context.stopped = stops.ENTRY if kind == "entry" else context.work.sidecar
     stops.request_stop(context.deployment, context.stopped)
@@ -33,12 +33,12 @@
     context.desks.make_calls(count, context.work.new_call_operations)
 
 
-@behave.when("what was in progress at the stop goes on")
+@behave.when("the work in progress at the stop continues")
 def release_work(context):
     context.work.release()
 
 
-@behave.then("all answers in progress at the stop come whole")
+@behave.then("all answers in progress at the stop are complete")
 def check_work(context):
     context.work.check()
 
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps for answers that come in pieces, over links and from engines that fail midway."""
+"""Steps for streamed answers over links and from engines that fail midway."""
 
 import behave
 
@@ -24,7 +24,7 @@
 
 
 class StreamScenario:
-    """Callers' generations at two engines, each on its own weight version."""
+    """Callers' generations at a few engines, each with a different weight version."""
 
     def __init__(self, started):
         self.deployment = started
@@ -32,13 +32,13 @@
         self.readers = []
 
     def start_generation(self, prompt, is_streamed=True):
-        """Start a caller's generation through the first entry."""
+        """Start a caller's generation through entry-a."""
         url = f"{self.cluster.url('entry-a')}/v1/customers/{_CUSTOMER}/operations/draft"
         headers = self.deployment.deployed.write_headers(_CUSTOMER)
         self.readers.append(stream_reader.StreamReader(url, headers, prompt, _TOKENS, is_streamed))
 
     def find_busy_host(self):
-        """Return the host whose engine is generating, once it has made some tokens."""
+        """Return a host whose engine is generating, once it has generated some tokens."""
         return support.wait_until(
             lambda: next(
                 (name for name in self.list_running_hosts() if self._is_midway(name)), None
@@ -47,7 +47,7 @@
         )
 
     def list_running_hosts(self):
-        """Return the hosts whose engine and sidecar run."""
+        """Return the hosts whose engine and sidecar are both running."""
         find = self.cluster.find
         hosts = self.deployment.hosts
         return [n for n in hosts if find(n).code is None and find(f"{n}-engine").code is None]
@@ -57,19 +57,19 @@
         return counts["running"] and counts["tokens"] >= 4 * _MIDWAY_LINES
 
     def kill_engine_and_next_sidecar(self, host):
-        """End the engine, and then the sidecar where its generation goes on."""
+        """Kill the engine, and then the sidecar of the host that resumes its generation."""
         self.cluster.kill(f"{host}-engine")
         self.deployment.kill(self.find_busy_host())
 
     def hold_link(self, host):
-        """Hold the link's answers until both callers wait for what is held, then pass them."""
+        """Hold the link's messages to the entry until some are held, then let them through."""
         link = self.deployment.relays[f"link-{host}"]
         link.block(relay.TO_CLIENT)
         support.wait_until(lambda: link.count_held(relay.TO_CLIENT), "the link holds answers")
         link.heal()
 
     def silence_link(self, host):
-        """Hold the link until the entry has gone elsewhere, then pass what is late by now."""
+        """Block the link until the entry uses another host, then let the late messages through."""
         link = self.deployment.relays[f"link-{host}"]
         before = [len(reader.lines) for reader in self.readers]
         link.block_open_connections()
@@ -79,7 +79,7 @@
                 self.cluster.read_control(f"{other}-engine", "generations=no")["running"]
                 or any(len(r.lines) > n + 20 for r, n in zip(self.readers, before, strict=True))
             ),
-            "the generation goes on elsewhere",
+            "the generation is resumed elsewhere",
         )
         link.heal()
 
@@ -140,14 +140,14 @@
     trial.start_generation(caller)
 
 
-@behave.then("each stream is its caller's own whole text, made by {count:d} engines")
+@behave.then("each caller has its own complete text, made by {count:d} engines")
 def check_complete(context, count):
     for reader in context.stream.readers:
         reader.check_complete()
         assert len(reader.read_versions()) == count, reader.last_line
 
 
-@behave.then("the stream has no last line, and what came is the beginning of its text")
+@behave.then("the stream has no last line, and its text is a prefix of the complete one")
 def check_truncated(context):
     reader = context.stream.readers[0]
     reader.await_end()
--- a/features/steps/walk_steps.py
+++ b/features/steps/walk_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the walk with the one-file program."""
+"""Steps that run the quick start with the one-file program."""
 
 import concurrent.futures
 import os
@@ -30,7 +30,7 @@
 
 
 def find_binary():
-    """Return the program's file, built now if nobody has."""
+    """Return the command of the one-file program, building the file if it does not exist."""
     if not _BINARY.exists():
         subprocess.run([sys.executable, str(_ROOT / "programs" / "build_binary.py")], check=True)
     return (sys.executable, "-I", str(_BINARY))
--- a/features/steps/weight_changes_steps.py
+++ b/features/steps/weight_changes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for changes of weights that fail on their way."""
+"""Steps for faults during a change of weights."""
 
 import behave
 import deployment_steps
@@ -11,7 +11,7 @@
 _VERSIONS_END = 10
 
 
-@behave.given("designs on an engine that {kind} and on a sound one")
+@behave.given("designs on an engine that {kind} and on a healthy one")
 def start_engines(context, kind):
     deployment_steps.start_deployment(
         context,
@@ -28,7 +28,11 @@
 
 
 def _has_finished_draft(context):
-    """Ask for a draft; such an engine first waits out the orders that came before its sidecar."""
+    """
+    Request a draft; return whether the engine has finished one.
+
+    Such an engine gets no work until orders from before its sidecar's start can't take effect.
+    """
     body = {"prompt": "warm up", "prefix": "", "max_tokens": 40, "stream": False}
     context.deployment.deployed.call("entry-a", "long", "draft", body)
     return any(
@@ -47,22 +51,22 @@
     context.trainings.start(name, version)
 
 
-@behave.when("that engine's order for version {version:d} has come so far")
+@behave.when("that engine's order for version {version:d} has reached that point")
 def await_stopped(context, version):
     context.weight_change.await_stopped(version)
 
 
-@behave.then("trainer {name} has every sample of its step, truly labelled")
+@behave.then("trainer {name} has every sample of its step, correctly labelled")
 def finish_training(context, name):
     context.summary = context.trainings.finish(name)
 
 
-@behave.when("that engine's later orders pass")
+@behave.when("later orders to that engine are let through")
 def pass_later_orders(context):
     context.weight_change.pass_later_orders()
 
 
-@behave.when("that engine's order goes on")
+@behave.when("that engine's order continues")
 def release_order(context):
     context.weight_change.release_order()
 
@@ -108,7 +112,7 @@
     context.repair_fault = _FAULTS[fault](context.deployment)
 
 
-@behave.when("the fault of that engine's weight change is mended")
+@behave.when("the fault of that engine's weight change is repaired")
 def repair_fault(context):
     context.repair_fault()
 
--- a/features/steps/weight_doubts_steps.py
+++ b/features/steps/weight_doubts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for engines whose weights are in doubt."""
+"""Steps for engines whose weight version is unknown."""
 
 import behave
 
@@ -71,7 +71,7 @@
         context.deployment.start_call(prompt, "entry-a", "long", "draft", body)
 
 
-@behave.then("each draft of designs is whole and truly labelled")
+@behave.then("each draft of designs is complete and correctly labelled")
 def check_drafts(context):
     for prompt in context.drafts:
         response = context.deployment.read_answer(prompt)
@@ -98,7 +98,7 @@
     context.deployment.cluster.control(_ENGINE, pause_after=0)
 
 
-@behave.when("that engine has made a whole sample")
+@behave.when("that engine has finished a generation")
 def await_finished_generation(context):
     support.wait_until(
         lambda: any(
@@ -109,7 +109,7 @@
     )
 
 
-@behave.when("that engine's load alone goes on")
+@behave.when("only that engine's load continues")
 def release_load(context):
     context.deployment.cluster.control(_ENGINE, hold_load=False)
 
--- a/features/stopping.feature
+++ b/features/stopping.feature
@@ -1,15 +1,15 @@
-Feature: Every planned stop is graceful and cuts no request in progress
+Feature: A planned stop cuts no request in progress
 
   Scenario Outline: A process is told to stop while work is in progress
-    # Callers and the trainer notice nothing. The process is told to stop while it runs their
-    # requests; it finishes what runs, what waits is taken elsewhere, and calls that are made
-    # meanwhile, at the entry that stops too, are answered.
+    # The process is told to stop while it handles requests. It finishes running requests, queued ones
+    # are sent elsewhere, and calls made during the stop are answered, also at a stopping entry.
+    # Callers and the trainer see no error.
     Given a deployment to stop parts of
     And at the time of the stop <work>
-    When the <process> with a part in it is told to stop
+    When the <process> involved in it is told to stop
     Then 6 calls made during the stop are done
-    When what was in progress at the stop goes on
-    Then all answers in progress at the stop come whole
+    When the work in progress at the stop continues
+    Then all answers in progress at the stop are complete
     And the stopped process has ended with exit code 0
 
     Examples:
@@ -25,13 +25,13 @@
       | sidecar | a step is half collected  |
       | entry   | a step is half collected  |
 
-  Scenario Outline: A process is told to stop while nothing new can begin
-    # As above, but that no call can be made meanwhile: every slot is held, or the log hangs.
+  Scenario Outline: A process is told to stop while no new call can start
+    # As above, but without calls during the stop, since every slot is held or the log hangs.
     Given a deployment to stop parts of
     And at the time of the stop <work>
-    When the <process> with a part in it is told to stop
-    And what was in progress at the stop goes on
-    Then all answers in progress at the stop come whole
+    When the <process> involved in it is told to stop
+    And the work in progress at the stop continues
+    Then all answers in progress at the stop are complete
     And the stopped process has ended with exit code 0
 
     Examples:
--- a/features/stops.py
+++ b/features/stops.py
@@ -1,4 +1,4 @@
-"""Work that is in progress when a process is told to stop."""
+"""Kinds of work that are in progress when a process is told to stop."""
 
 import abc
 import functools
@@ -12,7 +12,7 @@
 from oleander_standins import deployment, relay, tokens
 
 ENTRY = "entry-a"
-"""Callers and the trainer ask this one first."""
+"""The entry that callers and the trainer use first."""
 _ENGINE_FLAGS = ("--token-ms", "3", "--prefill-ms", "0", "--load-ms", "0")
 HOSTS = (
     *deployments.DESKS,
@@ -34,10 +34,10 @@
 
 
 class WorkInProgress(abc.ABC):
-    """Work that is held in progress, and let go on after the stop."""
+    """Work that is held in progress during the stop and released afterwards."""
 
     new_call_operations = ("charge", "look-up")
-    """What callers can go on asking for."""
+    """Operations for which callers can make new calls meanwhile."""
 
     def __init__(self, deployed):
         self._deployed = deployed
@@ -46,19 +46,19 @@
     @property
     @abc.abstractmethod
     def sidecar(self):
-        """The name of a sidecar that has a part in it."""
+        """The name of a sidecar that is involved in the work."""
 
     @abc.abstractmethod
     def start(self):
-        """Start it, and wait until it is held."""
+        """Start the work, and wait until it is held."""
 
     @abc.abstractmethod
     def release(self):
-        """Let it go on."""
+        """Let the work continue."""
 
     @abc.abstractmethod
     def check(self):
-        """Check that all answers came whole."""
+        """Check that all answers are complete."""
 
     def _set_engines(self, **settings):
         for host in HOSTS:
@@ -76,7 +76,7 @@
 
 
 class HeldCall(WorkInProgress):
-    """A call that its desk has begun to run and does not answer."""
+    """A call that its desk runs and does not answer until released."""
 
     new_call_operations = ("draft",)
 
@@ -100,7 +100,7 @@
 
 
 class WaitingCalls(HeldCall):
-    """More calls than the desks have slots, so that some wait in the sidecars' queues."""
+    """More calls than the desks have slots, so that some are queued at the sidecars."""
 
     def start(self):
         self._desks.fill_slots(16)
@@ -111,7 +111,7 @@
 
 
 class StreamedDraft(WorkInProgress):
-    """A draft that its caller reads as it is made."""
+    """A draft that is streamed to its caller."""
 
     @property
     def sidecar(self):
@@ -121,7 +121,7 @@
         self._set_engines(pause_after=8)
         body = {"prompt": "a draft", "prefix": "", "max_tokens": _DRAFT_TOKENS, "stream": True}
         self._deployed.start_call("draft", ENTRY, "long", "draft", body)
-        support.wait_until(self._find_busy_host, "the draft is being made")
+        support.wait_until(self._find_busy_host, "the draft is being generated")
 
     def release(self):
         self._set_engines(pause_after=0)
@@ -136,7 +136,7 @@
 
 
 class HalfCollectedStep(WorkInProgress):
-    """A trainer that collects a step; half of its samples are stragglers, which are held."""
+    """A trainer collecting a step whose long samples, half of them, are held."""
 
     def __init__(self, deployed, **flags):
         super().__init__(deployed)
@@ -168,7 +168,7 @@
 
 
 class WaitingPull(HalfCollectedStep):
-    """A trainer's pull that waits, as no engine takes work."""
+    """A trainer's pull that waits because no engine accepts work."""
 
     def start(self):
         self._set_engines(refuse=True)
@@ -187,7 +187,7 @@
 
 
 class UnconfirmedClaim(WorkInProgress):
-    """A claim that stands in the log, while its entry does not know so yet."""
+    """A claim that is in the log while the log's answer to its entry is held back."""
 
     def __init__(self, deployed):
         super().__init__(deployed)
@@ -220,7 +220,7 @@
 
 
 class HungLog(WorkInProgress):
-    """Nothing, but that the log hangs."""
+    """No work at all, but a log that hangs."""
 
     @property
     def sidecar(self):
@@ -249,7 +249,7 @@
 
 
 def request_stop(deployed, name):
-    """Tell a process to stop, and wait until it has begun to."""
+    """Send SIGTERM to a process, and wait until it drains or has ended."""
     deployed.cluster.find(name).send(signal.SIGTERM)
     process = deployed.cluster.find(name)
     support.wait_until(
--- a/features/stream_reader.py
+++ b/features/stream_reader.py
@@ -1,4 +1,4 @@
-"""A caller that reads a generation line by line while faults happen."""
+"""A caller that reads a generation line by line while faults are injected."""
 
 import http.client
 import json
@@ -13,7 +13,7 @@
 
 
 class StreamReader:
-    """Reads one generation on a thread of its own; keeps the lines that came whole."""
+    """Reads one generation on its own thread, and keeps the complete lines."""
 
     def __init__(self, url, headers, prompt, count, is_streamed):
         self.prompt = prompt
@@ -27,25 +27,25 @@
 
     @property
     def text(self):
-        """All text that came."""
+        """All text received so far."""
         return "".join(line.get("text", "") for line in self.lines)
 
     @property
     def last_line(self):
-        """The line that makes an answer whole, or nothing where it was cut."""
+        """The final line, which holds the label, or None if the answer is incomplete."""
         return self.lines[-1] if self.lines and "label" in self.lines[-1] else None
 
     def await_lines(self, count):
-        """Wait until so many lines have come."""
+        """Wait until at least `count` lines were received."""
         support.wait_until(lambda: len(self.lines) >= count, f"{count} lines of {self.prompt}")
 
     def await_end(self):
-        """Wait until the answer has ended or was cut."""
+        """Wait until the answer has ended, completely or not."""
         self._thread.join(_TIMEOUT_SECONDS)
-        assert not self._thread.is_alive(), f"{self.prompt} goes on: {len(self.lines)} lines"
+        assert not self._thread.is_alive(), f"{self.prompt} has not ended: {len(self.lines)} lines"
 
     def check_complete(self):
-        """Check that the answer is this prompt's, whole, and labelled as its lines are."""
+        """Check that the answer is complete, matches the prompt, and is labelled correctly."""
         self.await_end()
         assert self.last_line is not None, self.lines[-2:]
         assert self.last_line.get("outcome", "done") == "done", self.last_line
@@ -73,7 +73,7 @@
         assert self.last_line["label"] == label, (self.last_line, label)
 
     def read_versions(self):
-        """Return the weight versions that the label names, in order."""
+        """Return the weight versions in the label, in order."""
         return [part["version"] for part in self.last_line["label"]]
 
     def _read(self):
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -1,25 +1,25 @@
-Feature: A caller receives the whole answer to its own request
+Feature: A caller receives the complete answer to its own request
 
-  Scenario Outline: Two callers' streams share one link, and neither gets a piece of the other's
-    # Both generations run at the only engine, and their pieces come interleaved over one link that
-    # holds them for a moment. Each caller sees its own text, whole and in order, since a piece
-    # names the request it belongs to.
+  Scenario Outline: Two callers' streams share one link without mixing
+    # Both generations run at the only engine, and their chunks arrive interleaved over one link,
+    # which may hold them for a moment. Each chunk names its request, so each caller gets its own
+    # text, complete and in order.
     Given a deployment for streams with the engines a
     When the streams of one caller and another caller are midway and <fault>
-    Then each stream is its caller's own whole text, made by 1 engines
+    Then each caller has its own complete text, made by 1 engines
 
     Examples:
       | fault                               |
       | nothing happens                     |
       | its link holds answers for a moment |
 
-  Scenario Outline: A stream that breaks off goes on at another engine, with no gap and no repeat
-    # Midway the link, the sidecar or the engine fails. The entry goes on elsewhere from what it has
-    # passed on, and ignores what comes late from the first place. The caller sees the same text as
-    # if nothing had happened; the label names the weights of both engines.
+  Scenario Outline: A broken stream is resumed at another engine without gaps or repetitions
+    # The link, the sidecar or the engine fails midway. The entry resumes the generation elsewhere
+    # after the text that it has already forwarded, and ignores late chunks of the first attempt. The
+    # caller gets the same text as without a fault; the label names the weights of all engines used.
     Given a deployment for streams with the engines <engines>
     When the streams of one caller are midway and <fault>
-    Then each stream is its caller's own whole text, made by <count> engines
+    Then each caller has its own complete text, made by <count> engines
 
     Examples:
       | engines | fault                                           | count |
@@ -31,11 +31,11 @@
       | a b     | its engine dies                                 | 2     |
       | a b c   | its engine dies, and so does the next sidecar   | 3     |
 
-  Scenario Outline: An answer in one piece is whole too
-    # The entry gathers the pieces; the caller sees nothing of the engine that failed midway.
+  Scenario Outline: An answer without streaming is complete too
+    # The entry collects the chunks, so the caller does not notice that an engine failed midway.
     Given a deployment for streams with the engines a b
     When an answer in one piece to one caller is midway and <fault>
-    Then each stream is its caller's own whole text, made by 2 engines
+    Then each caller has its own complete text, made by 2 engines
 
     Examples:
       | fault            |
@@ -43,15 +43,15 @@
       | its sidecar dies |
 
   Scenario: An engine cuts a stream after its first line
-    # The engine ends its answer in order but without its last line. The sidecar must not take that
-    # for the end of the text; the entry goes on at the other engine.
+    # The engine closes its response properly but without the last line. The sidecar must not treat
+    # that as the end of the text; the entry resumes the generation at the other engine.
     Given a deployment for streams with the engines a b
     When a stream of one caller has ended, and the same engine cuts the next one short
-    Then each stream is its caller's own whole text, made by 2 engines
+    Then each caller has its own complete text, made by 2 engines
 
   Scenario: The entry dies midway
-    # Nobody can go on for the caller. The stream ends without its last line, so the caller can
-    # tell that the answer is not whole.
+    # Nothing can resume the caller's stream. It ends without its last line, so the caller can tell
+    # that the answer is incomplete.
     Given a deployment for streams with the engines a b
     When the streams of one caller are midway and the entry dies
-    Then the stream has no last line, and what came is the beginning of its text
+    Then the stream has no last line, and its text is a prefix of the complete one
--- a/features/trainings.py
+++ b/features/trainings.py
@@ -1,4 +1,4 @@
-"""Trainers beside a small deployment, and what they found."""
+"""Runs trainer stand-ins against a small deployment, and checks their results."""
 
 import concurrent.futures
 
@@ -19,7 +19,7 @@
 
 
 class Trainings:
-    """One trainer, a run for each step, which names the version of the step as its policy."""
+    """Successive runs of one trainer, each of which publishes a version and collects steps."""
 
     def __init__(self, deployment):
         self._deployment = deployment
@@ -28,12 +28,12 @@
         self._running = {}
 
     def store_weights(self, version):
-        """Put weights into the store, as a trainer does before it announces them."""
+        """Put weights into the store, as a trainer does before it publishes their version."""
         url = f"{self._deployment.cluster.url('weights')}/weights/{NAME}/{version}"
         assert support.call("PUT", url, b"weights").status == 200
 
     def start(self, name, version, **flags):
-        """Announce a version and take the next step with it."""
+        """Start a run that publishes a version and collects the next step with it."""
         self._steps += 1
         cluster = self._deployment.cluster
         token = self._deployment.deployed.write_headers(CUSTOMER)["Authorization"].split()[1]
@@ -48,13 +48,13 @@
         self._running[name] = self._pool.submit(self._run, options)
 
     def finish(self, name):
-        """Wait for a trainer's end; return its summary, which names no broken promise."""
+        """Wait until a run ends; return its summary after checking that it found no problem."""
         code, lines = self._running[name].result(_STEP_TIMEOUT_SECONDS)
         assert code == 0, f"trainer {name} ended with {code}: {lines}"
         return lines[-1]
 
     def is_finished(self, name):
-        """Return whether a trainer has ended."""
+        """Return whether a run has ended."""
         return self._running[name].done()
 
     def _run(self, options):
--- a/features/walk.feature
+++ b/features/walk.feature
@@ -1,10 +1,10 @@
-Feature: A newcomer's walk, with the one-file program in an empty environment
-  What QUICKSTART shows, in the same order.
+Feature: The quick start works with the one-file program in an empty environment
+  Runs the commands of QUICKSTART in the same order.
 
   Scenario: Check, publish, call, report, audit, stop a host during traffic
-    # An operator writes a contract with two mistakes, mends and publishes it, and stops a host
-    # while callers book. No caller sees it: the sidecar tells the entries, finishes what runs and
-    # leaves; the rest goes to the other one.
+    # An operator writes a contract with two mistakes, corrects and publishes it, and stops a host
+    # during traffic. No caller sees an error: the sidecar tells the entries that it is leaving and
+    # finishes its running requests, and all others go to the other host.
     Given the binary runs a walk with 2 services and 2 entries
     When the walk's contract with two mistakes is checked
     Then the walk's command exits 1 and names "priority" and "timeout_ms"
--- a/features/weight_changes.feature
+++ b/features/weight_changes.feature
@@ -1,23 +1,23 @@
-Feature: Every sample names the weights that made it, whatever fails as they change
-  The engine stand-in writes the version into each token, and the trainer stand-in compares this
-  with the label. Two engines run designs; one is at fault, the other is sound.
+Feature: Samples are labelled with the weights that generated them despite faults during a change
+  The engine stand-in writes its weight version into each token, and the trainer stand-in compares
+  these versions with the label. Two engines run the model designs; only one of them has faults.
 
-  Scenario Outline: A fault at each step of an order to load
-    # The trainer waits for a step while one of its engines changes weights and something fails.
-    # The order is stopped on its way, the fault strikes, the step ends on the sound engine; the
-    # fault is mended, the next version comes, and only then does the stopped order take effect.
-    # Its number is older than that of the next version's order, which is why engines check it.
-    Given designs on an engine that <kind> and on a sound one
+  Scenario Outline: A fault at each step of a load order
+    # A load order is held back at one step, then a fault occurs, and the trainer's step completes on
+    # the healthy engine. The fault is repaired and the next version is loaded; only then does the
+    # held order take effect. Its fencing number is lower than that of the next version's order,
+    # so an engine that checks fencing numbers refuses it.
+    Given designs on an engine that <kind> and on a healthy one
     And that engine's next order to load will be stopped when <step>
     When trainer first starts a step with designs version 2
-    And that engine's order for version 2 has come so far
+    And that engine's order for version 2 has reached that point
     And <fault> as that engine's weights change
-    Then trainer first has every sample of its step, truly labelled
-    When that engine's later orders pass
-    And the fault of that engine's weight change is mended
+    Then trainer first has every sample of its step, correctly labelled
+    When later orders to that engine are let through
+    And the fault of that engine's weight change is repaired
     And trainer second starts a step with designs version 3
-    And that engine's order goes on
-    Then trainer second has every sample of its step, truly labelled
+    And that engine's order continues
+    Then trainer second has every sample of its step, correctly labelled
     And both engines run designs version 3 and take work
     And no engine accepted an order older than one before it
 
@@ -44,25 +44,25 @@
       | confirmed   | the engine is cut off | states no version |
       | confirmed   | the log hangs         | ignores numbers   |
 
-  Scenario Outline: An order of a killed sidecar takes effect after its successor's
-    # The trainer is in the middle of a step when an engine turns back to older weights. A sidecar
-    # died with an order on its way; its successor loaded a newer version; then the old order comes.
-    # Refused by number or not, no sample may be labelled with what ran before or after it.
-    Given designs on an engine that <kind> and on a sound one
+  Scenario Outline: A killed sidecar's order arrives after its successor's order
+    # A sidecar is killed with a load order on its way, its successor loads a newer version, and the
+    # old order arrives in the middle of a trainer's step. Whether the engine refuses it or reverts to
+    # older weights, no sample may be labelled with a version that did not generate it.
+    Given designs on an engine that <kind> and on a healthy one
     And that engine's next order to load will be stopped when ordered
     When trainer first starts a step with designs version 2
-    And that engine's order for version 2 has come so far
+    And that engine's order for version 2 has reached that point
     And its sidecar is killed as that engine's weights change
-    Then trainer first has every sample of its step, truly labelled
-    When that engine's later orders pass
-    And the fault of that engine's weight change is mended
+    Then trainer first has every sample of its step, correctly labelled
+    When later orders to that engine are let through
+    And the fault of that engine's weight change is repaired
     And trainer second starts a step with designs version 3
-    Then trainer second has every sample of its step, truly labelled
+    Then trainer second has every sample of its step, correctly labelled
     And both engines run designs version 3 and take work
     When trainer third starts a long step with designs version 3
-    And that engine's order goes on
+    And that engine's order continues
     Then that engine answered its late order for version 2 with <status>
-    And trainer third has every sample of its step, truly labelled
+    And trainer third has every sample of its step, correctly labelled
     And both engines run designs version 3 and take work
     And no engine accepted an order older than one before it
 
--- a/features/weight_changes.py
+++ b/features/weight_changes.py
@@ -1,4 +1,4 @@
-"""A change of weights that is stopped on its way at one engine, and what fails meanwhile."""
+"""Holds a load order back at one step, and reads what engines and the audit log recorded."""
 
 import support
 from oleander_standins import deployment, relay
@@ -19,7 +19,7 @@
 
 
 def describe_hosts(kind, *flags):
-    """Return an engine of a kind, which is to fail, and a sound one."""
+    """Return the host under test with an engine of a kind, and a second host without faults."""
     checks_fencing, engine_flags = _ENGINE_KINDS[kind]
     return (
         deployment.BackendHost(
@@ -45,7 +45,7 @@
 
 
 class WeightChange:
-    """Stops an order to the engine under test at one step, and lets it go on later."""
+    """Holds the next load order to the engine under test back at one step until released."""
 
     def __init__(self, deployed, step):
         self._deployed = deployed
@@ -63,11 +63,11 @@
                 self._relay.hold_requests("GET /v1/version", relay.TO_SERVER)
 
     def hold_answers(self):
-        """Hold what the engine answers to generations."""
+        """Hold the engine's responses to generation requests."""
         self._relay.hold_requests("POST /v1/generate", relay.TO_CLIENT)
 
     def await_stopped(self, version):
-        """Wait until the order to load a version has come to the step."""
+        """Wait until the order to load a version has reached the step."""
         conditions = {
             "ordered": lambda: self._relay.count_held(relay.TO_SERVER),
             "half loaded": lambda: read_counts(self._deployed)["loading"],
@@ -77,27 +77,27 @@
         support.wait_until(conditions[self._step], f"the order is {self._step}")
 
     def pass_later_orders(self):
-        """Let later orders pass; the one that was stopped stays so where it was sent already."""
+        """Let later orders through; an order that the relay already holds stays held."""
         self._relay.pass_requests()
 
     def release_order(self):
-        """Let everything go on."""
+        """Release everything that is held, and let loads succeed."""
         self._relay.heal()
         self._cluster.control(ENGINE_UNDER_TEST, hold_load=False, fail_load=0)
 
 
 def read_counts(deployed):
-    """Return what the engine under test counted."""
+    """Return the counters of the engine under test."""
     return deployed.cluster.read_control(ENGINE_UNDER_TEST, "generations=no")
 
 
 def read_generations(deployed):
-    """Return what the engine under test knows of its generations."""
+    """Return the generations that the engine under test has recorded."""
     return deployed.cluster.read_control(ENGINE_UNDER_TEST)["generations"].values()
 
 
 def find_orders(deployed, version, outcome, host=HOST_UNDER_TEST):
-    """Return what the trail says of orders to an engine."""
+    """Return an engine's orders with a version and an outcome from the audit log."""
     values = [record["value"] for record in deployed.read_stream("orders")]
     return [
         value
@@ -107,7 +107,7 @@
 
 
 def check_fencing(deployed):
-    """Check that no engine that checks numbers accepted an older one after a newer."""
+    """Check that engines which check fencing numbers accepted only increasing ones."""
     for host in deployed.hosts.values():
         counted = deployed.cluster.read_control(host.server_name, "generations=no")
         accepted = [item["fencing"] for item in counted["loads"] if item["status"] != 409]
--- a/features/weight_doubts.feature
+++ b/features/weight_doubts.feature
@@ -1,24 +1,24 @@
-Feature: Every sample names the weights that made it, also while they are in doubt
-  The engine stand-in writes the version into each token, and the trainer stand-in compares this
-  with the label. Two engines run designs; one is at fault, the other is sound.
+Feature: Samples are labelled with the weights that generated them while versions are unknown
+  The engine stand-in writes its weight version into each token, and the trainer stand-in compares
+  these versions with the label. Two engines run the model designs; only one of them has faults.
 
   Scenario Outline: Weights change in the middle of a generation
-    # Callers and the trainer get texts that were begun with one version and ended with the next, or
-    # with none, as a load ended while they were made. Where the engine says which token is whose,
-    # they are labelled so; where it does not, or has no whole weights, that part is made again.
-    Given designs on an engine that <kind> and on a sound one
+    # A load ends during a generation, so the text starts with one version and ends with the next, or
+    # with none if the load failed. If the engine marks its tokens, the label names both versions. If
+    # it does not, or has no complete weights, that part is generated again.
+    Given designs on an engine that <kind> and on a healthy one
     And that engine's next order to load will be stopped when half loaded
     And that engine's generations pause after 6 tokens
     And that engine's next load <ends>
     When callers ask for 6 drafts of designs
     And that engine's generations have paused
     And trainer first starts a step with designs version 2
-    And that engine's order for version 2 has come so far
-    And that engine's order goes on
+    And that engine's order for version 2 has reached that point
+    And that engine's order continues
     And that engine's load for version 2 has ended with <status>
     And that engine's generations no longer pause
-    Then trainer first has every sample of its step, truly labelled
-    And each draft of designs is whole and truly labelled
+    Then trainer first has every sample of its step, correctly labelled
+    And each draft of designs is complete and correctly labelled
     And that engine made a generation with versions <made>
     And both engines run designs version 2 and take work
 
@@ -31,22 +31,22 @@
       | checks numbers                        | fails midway      | 500    | 1 none |
       | states no version                     | fails midway      | 500    | 1 none |
 
-  Scenario Outline: A load fails, or nobody knows whether it did
-    # The trainer goes on while an engine is in doubt: its load failed midway, its answer was lost,
-    # or its order takes effect after the next one. The sidecar reads the version before it uses
-    # the engine again, and orders anew.
-    Given designs on an engine that <kind> and on a sound one
+  Scenario Outline: A load fails or has an unknown outcome
+    # The trainer continues while an engine's version is unknown, because a load failed midway, its
+    # answer was lost, or its order takes effect after the next one. The sidecar reads the version
+    # before it uses the engine again, and sends a new order.
+    Given designs on an engine that <kind> and on a healthy one
     And that engine's next load <ends>
     When trainer first starts a step with designs version 2
     Then that engine's order for version 2 was in doubt
-    And trainer first has every sample of its step, truly labelled
-    When that engine's later orders pass
+    And trainer first has every sample of its step, correctly labelled
+    When later orders to that engine are let through
     And trainer second starts a step with designs version 3
-    Then trainer second has every sample of its step, truly labelled
+    Then trainer second has every sample of its step, correctly labelled
     And both engines run designs version 3 and take work
     When trainer third starts a long step with designs version 3
-    And that engine's order goes on
-    Then trainer third has every sample of its step, truly labelled
+    And that engine's order continues
+    Then trainer third has every sample of its step, correctly labelled
     And both engines run designs version 3 and take work
     And no engine accepted an order older than one before it
 
@@ -60,18 +60,18 @@
       | ignores numbers                       | is ordered too late |
       | ignores numbers and states no version | is ordered too late |
 
-  Scenario Outline: An engine in doubt gets no work until its version was read
-    # The trainer's samples all come from the sound engine. The other has no whole version, or
-    # nobody can read which it has; work sent there would be made in vain, or labelled by guess.
-    Given designs on an engine that <kind> and on a sound one
+  Scenario Outline: An engine of unknown version gets no work until the version was read
+    # All samples come from the healthy engine. The other one has incomplete weights, or its version
+    # can't be read; work sent there would be discarded or labelled with a guess.
+    Given designs on an engine that <kind> and on a healthy one
     And that engine's <doubt>
     When trainer first starts a step with designs version 2
-    Then trainer first has every sample of its step, truly labelled
+    Then trainer first has every sample of its step, correctly labelled
     And the entries use one engine for designs
     When trainer second starts a step with designs version 3
-    Then trainer second has every sample of its step, truly labelled
+    Then trainer second has every sample of its step, correctly labelled
     And that engine was given no work since
-    When that engine's order goes on
+    When that engine's order continues
     Then both engines run designs version 3 and take work
 
     Examples:
@@ -80,16 +80,16 @@
       | states no version | loads all fail midway       |
       | checks numbers    | version can't be read       |
 
-  Scenario Outline: The weight store is no help
-    # The trainer's step ends although no engine can load its version: engines go on with the older
-    # one, which the staleness bound allows, and load once the store is back.
-    Given designs on an engine that <kind> and on a sound one
+  Scenario Outline: The weight store is down or too slow
+    # The trainer's step completes although no engine can load its version: the engines continue with
+    # the previous one, which the staleness bound allows, and load once the store has recovered.
+    Given designs on an engine that <kind> and on a healthy one
     And the weight store's <setting> is <value>
     When trainer first starts a step with designs version 2
-    Then trainer first has every sample of its step, truly labelled
+    Then trainer first has every sample of its step, correctly labelled
     And orders to <count> engines for version 2 were <outcome>
     When trainer second starts a step with designs version 3
-    Then trainer second has every sample of its step, truly labelled
+    Then trainer second has every sample of its step, correctly labelled
     When the weight store's <setting> is <mended>
     Then both engines run designs version 3 and take work
 
@@ -100,37 +100,37 @@
       | states no version | slow_ms          | 2500   | 2     | in doubt | 0      |
       | checks numbers    | reads_per_second | 1      | 1     | refused  | 1      |
 
-  Scenario: Tokens whose start is told late are not labelled by a later reading
-    # The trainer would get a wrong label: an engine that states no version made a sample with one
-    # version, but its answer was under way while the next was loaded and confirmed. A version read
-    # when the answer starts to come is the new one, before and after.
-    Given designs on an engine that states no version and on a sound one
+  Scenario: Tokens that arrive late are not labelled with a version read later
+    # Guards against a wrong label: an engine that does not mark its tokens generates a sample with
+    # one version, and its answer is delayed until the next version is loaded and confirmed. Version
+    # reads at the start and at the end of the delayed answer would both return the new version.
+    Given designs on an engine that states no version and on a healthy one
     And that engine's next order to load will be stopped when half loaded
     And that engine's answers to generations are held
     When trainer first starts a step with designs version 2
-    And that engine's order for version 2 has come so far
-    And that engine has made a whole sample
-    And that engine's load alone goes on
+    And that engine's order for version 2 has reached that point
+    And that engine has finished a generation
+    And only that engine's load continues
     Then that engine's order for version 2 was loaded
-    When that engine's order goes on
-    Then trainer first has every sample of its step, truly labelled
+    When that engine's order continues
+    Then trainer first has every sample of its step, correctly labelled
 
-  Scenario: Versions come faster than loads
-    # Guards against an engine that loads version after version while it falls behind, and against samples older than the bound.
-    Given designs on an engine that checks numbers and on a sound one
+  Scenario: Versions are published faster than an engine loads them
+    # Guards against an engine that loads every version and falls behind, and against samples older than the staleness bound.
+    Given designs on an engine that checks numbers and on a healthy one
     And that engine's next order to load will be stopped when half loaded
     When trainer first takes 8 short steps from designs version 2
-    And that engine's order for version 2 has come so far
-    Then trainer first has every sample of its step, truly labelled
-    When that engine's load alone goes on
+    And that engine's order for version 2 has reached that point
+    Then trainer first has every sample of its step, correctly labelled
+    When only that engine's load continues
     Then both engines run designs version 9 and take work
     And that engine was ordered fewer than 4 loads
     And no engine accepted an order older than one before it
 
-  Scenario: A sidecar that is cut off from the log learns of a version all the same
-    # The trainer's version is in the log, which the sidecar can't reach; an entry sends it on.
-    Given designs on an engine that checks numbers and on a sound one
+  Scenario: A sidecar that is cut off from the log learns of a version through an entry
+    # The version's record is in the log, which the sidecar can't reach; an entry forwards it.
+    Given designs on an engine that checks numbers and on a healthy one
     And that engine's sidecar is cut off from the log
     When trainer first starts a step with designs version 2
-    Then trainer first has every sample of its step, truly labelled
+    Then trainer first has every sample of its step, correctly labelled
     And both engines run designs version 2 and take work
