--- a/programs/oleanderdeal/oleanderdeal/entry_clients.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_clients.py
@@ -41,13 +41,13 @@
     def read_configuration(
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryConfiguration, EntryError]:
-        """Return how far an entry is."""
+        """Return the configuration offset and the number of links of the entry at a URL."""
 
     @abc.abstractmethod
     def read_report(
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryReport, EntryError]:
-        """Return an entry's counts."""
+        """Return the counters of the entry at a URL."""
 
 
 class HttpEntryClient(EntryClient):
@@ -59,13 +59,13 @@
     def read_configuration(
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryConfiguration, EntryError]:
-        """Return how far an entry is."""
+        """Return the configuration offset and the number of links of the entry at a URL."""
         return self._get_object(url, "/v1/configuration", deadline).bind(_parse_configuration)
 
     def read_report(
         self, url: str, deadline: clock.Deadline
     ) -> expression.Result[EntryReport, EntryError]:
-        """Return an entry's counts."""
+        """Return the counters of the entry at a URL."""
         return self._get_object(url, "/v1/report", deadline).bind(_parse_report)
 
     def _get_object(
--- a/programs/oleanderdeal/oleanderdeal/peers.py
+++ b/programs/oleanderdeal/oleanderdeal/peers.py
@@ -104,7 +104,7 @@
             self._retired[item.host.address] = self._links.pop(item.name)
 
     def _restore(self, host: hostlist.Host) -> peer_link.PeerLink | None:
-        """Return the retired link to a host that is wanted again, if there is one."""
+        """Return a host's retired link to routing, if there is one; else return None."""
         found = self._retired.get(host.address)
         if found is None or found.host != host:
             return None
