--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -53,7 +53,7 @@
         number, self._next = self._next, self._next + 1
         self._sent += 1
         version = 1 if self._behaviour == "old" else 2
-        self._engines.made[self._item_id, number, version] += 1
+        self._engines.generated[self._item_id, number, version] += 1
         return expression.Ok(servers.GeneratedEvent(f"{self._item_id}.{number}", version))
 
     def close(self):
@@ -76,7 +76,7 @@
         self._scorer = scorer
         self._refused = collections.Counter()
         self._scored = collections.Counter()
-        self.made = collections.Counter()
+        self.generated = collections.Counter()
         self.cuts = collections.Counter()
         self.running = 0
         self.attempts = 0
--- a/features/sample_trials.py
+++ b/features/sample_trials.py
@@ -180,14 +180,14 @@
         name = f"customer.{CUSTOMER}.trainer.{trainer}.delivered"
         return report.read_json()["counts"].get(name, 0)
 
-    def await_made(self, tokens):
+    def await_generated(self, tokens):
         """Wait until the engines have generated at least `tokens` tokens and are idle."""
 
-        def is_made():
+        def is_generated():
             running = sum(self._count(name)["running"] for name in ENGINES)
             return self.count_tokens() >= tokens and running == 0
 
-        support.wait_until(is_made, f"{tokens} tokens are generated")
+        support.wait_until(is_generated, f"{tokens} tokens are generated")
 
     def await_peers(self, count):
         """Wait until the collecting entry is connected to `count` sidecars."""
@@ -221,7 +221,7 @@
     def _reach_finished(self, trainer, flags):
         self._hold_answers()
         self.start_trainer("trainer", trainer, deployments.ENTRIES, "--states-held", *flags)
-        self.await_made(SAMPLES * SAMPLE_TOKENS)
+        self.await_generated(SAMPLES * SAMPLE_TOKENS)
 
     def _reach_partly_held(self, trainer, flags):
         self._pause("designs-b", pause_after=_PAUSE_TOKENS)
@@ -255,13 +255,13 @@
     def _await_running(self, tokens):
         """Wait until every slot has generated `tokens` tokens and is paused there."""
 
-        def is_there():
+        def is_paused():
             counts = [self._count(name) for name in ENGINES]
             return all(
                 item["running"] == SLOTS and item["tokens"] == SLOTS * tokens for item in counts
             )
 
-        support.wait_until(is_there, f"every slot has generated {tokens} tokens")
+        support.wait_until(is_paused, f"every slot has generated {tokens} tokens")
 
     def _hold_answers(self):
         self._held_relay = self._deployed.relays["trainer-entry-a"]
--- a/features/steps/batch_items_steps.py
+++ b/features/steps/batch_items_steps.py
@@ -75,7 +75,7 @@
 
 @behave.then("no event was generated twice with the same version")
 def check_generated_once(context):
-    again = {key: count for key, count in context.engines.made.items() if count > 1}
+    again = {key: count for key, count in context.engines.generated.items() if count > 1}
     assert not again, again
 
 
@@ -94,7 +94,7 @@
 
 @behave.when("its items have {events:d} events each")
 def wait_events(context, events):
-    made = context.engines.made
+    made = context.engines.generated
     batch_processes.wait_until(
         10,
         lambda: all(made[str(number), events, 2] for number in range(batch_processes.ITEMS)),
--- a/features/steps/batch_tenures_steps.py
+++ b/features/steps/batch_tenures_steps.py
@@ -29,8 +29,8 @@
 
 def _assign_partitions(context, name):
     for member in "ab":
-        is_dealt = member == name
-        context.log_service.dealt[member] = frozenset(range(64) if is_dealt else ())
+        is_assigned = member == name
+        context.log_service.dealt[member] = frozenset(range(64) if is_assigned else ())
 
 
 @behave.when("all partitions are assigned to {name}")
--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -80,7 +80,7 @@
         self.collector = collector
         self.work = work
         self.lag = lag
-        self.made = []
+        self.versions = []
 
 
 class TrainerModel:
@@ -173,17 +173,19 @@
         version = self.engine_version - engine.lag
         stated = None if self.random.random() < 0.04 else version
         text = f"[{version}]" * tokens
-        engine.made.append(version)
+        engine.versions.append(version)
         engine.collector.record_progress(engine.work.work_id, text, tokens, stated)
 
     def _finish(self):
-        begun = [item for item in self.running if item.made or self.random.random() < 0.05]
+        begun = [item for item in self.running if item.versions or self.random.random() < 0.05]
         if not begun:
             return
         engine = self.random.choice(begun)
         self.running.remove(engine)
         self.ended = [*self.ended[-5:], engine]
-        before, after = (engine.made[0], engine.made[-1]) if engine.made else (None, None)
+        before, after = (
+            (engine.versions[0], engine.versions[-1]) if engine.versions else (None, None)
+        )
         assumption = labels.Assumption(before, after, False)
         use = self.random.random() < 0.5
         done = engine.collector.finish_work(engine.work.work_id, assumption if use else None)
--- a/features/steps/samples_matrix_steps.py
+++ b/features/steps/samples_matrix_steps.py
@@ -145,9 +145,11 @@
     trials = context.sample_trials
     unheld = (sample_trials.SAMPLES - trials.held_at_stage) * sample_trials.SAMPLE_TOKENS
     named = {"unheld": unheld, "unheld-twice": 2 * unheld}
-    most = named[wasted] if wasted in named else int(wasted)
-    made = trials.count_tokens() - sample_trials.SAMPLES * sample_trials.SAMPLE_TOKENS
-    assert made <= most, f"{made} wasted tokens, {trials.held_at_stage} samples were held"
+    max_wasted_tokens = named[wasted] if wasted in named else int(wasted)
+    wasted_tokens = trials.count_tokens() - sample_trials.SAMPLES * sample_trials.SAMPLE_TOKENS
+    assert wasted_tokens <= max_wasted_tokens, (
+        f"{wasted_tokens} wasted tokens, {trials.held_at_stage} samples were held"
+    )
 
 
 @behave.then(
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -31,17 +31,17 @@
 
     def count_pieces_before_move(self, pieces):
         """Return how many pieces the long text had when it was moved, or None if it never was."""
-        made = 0
+        count = 0
         now = 0.0
-        while made < len(pieces):
+        while count < len(pieces):
             now += _TICK_SECONDS
-            while made < len(pieces) and pieces[made] <= now:
-                self._record_piece(self._long, pieces[made])
-                made += 1
+            while count < len(pieces) and pieces[count] <= now:
+                self._record_piece(self._long, pieces[count])
+                count += 1
             if now < self._shorts_finished_at:
                 continue
             if self._scheduler.start_next(now, free_slot_rate=self.free_slot_rate) is not None:
-                return made
+                return count
         return None
 
     def list_pieces(self, count, wait=0.0, slow_after=0, slower=1.0, pause=0.0):
@@ -78,7 +78,8 @@
 
 
 @behave.given(
-    "a text of {count:d} pieces whose engine becomes {slower:g} times slower after {after:d} pieces"
+    "a text of {count:d} pieces whose engine becomes {slower:g} times slower"
+    " after {after:d} pieces"
 )
 def slow_down(context, count, slower, after):
     context.pieces = context.step.list_pieces(count, slow_after=after, slower=slower)
