--- a/features/steps/order_rights_steps.py
+++ b/features/steps/order_rights_steps.py
@@ -71,7 +71,7 @@
         for name, held in self._rights.items():
             tenure = held.find_tenure()
             if tenure is not None:
-                self.permissions.append((self.now, name, tenure.fencing_number, held.name))
+                self.permissions.append((self.now, name, tenure.fencing_token, held.name))
 
 
 @behave.given("the order holders {names}")
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -116,7 +116,7 @@
         return min(reachable, default=None)
 
     def take(self, name, report, holder):
-        self.told.append((self.now, name, report, holder.fencing_number))
+        self.told.append((self.now, name, report, holder.fencing_token))
 
     def act(self, word):
         if word.endswith("s") and word[0].isdigit():
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -209,7 +209,7 @@
         tenure = self._find_tenure()
         if tenure is None:
             return False
-        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_number)
+        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_token)
         deadline = tenure.deadline.cap(_CALL_TIMEOUT_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
@@ -217,7 +217,7 @@
             window=report.window,
             organisations=len(report.counts),
             requests=sum(report.counts.values()),
-            fencing=tenure.fencing_number,
+            fencing=tenure.fencing_token,
             tenure_left_ms=tenure.deadline.remaining_ms,
         ).info(str(outcome))
         metrics.count(metrics.USAGE_REPORTS)
--- a/programs/oleanderdeal/oleanderdeal/version_reconciler.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -184,7 +184,7 @@
             version=order.version,
             keeps_requests_running=keeps_requests_running,
             holder=right.name,
-            fencing_number=tenure.fencing_number,
+            fencing_token=tenure.fencing_token,
             accepted_orders=accepted,
         )
         deadline = tenure.deadline.cap(_ORDER_TIMEOUT_SECONDS)
@@ -200,7 +200,7 @@
             server=order.server.incarnation,
             model=order.model,
             version=order.version,
-            fencing=tenure.fencing_number,
+            fencing=tenure.fencing_token,
             tenure_left_ms=tenure.deadline.remaining_ms,
             expected=accepted,
         ).info(str(outcome))
