--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -68,7 +68,7 @@
         return self._engines.cuts[self._item_id] == 1
 
 
-class FakeEngines(server_fakes.UnusedCaller):
+class FakeEngines(server_fakes.FailingCaller):
     """Engines and the scorer."""
 
     def __init__(self, behaviours, scorer="answers"):
--- a/features/crash_fakes.py
+++ b/features/crash_fakes.py
@@ -7,6 +7,6 @@
 SEED = 3
 
 
-def describe_server(name, address=""):
+def build_server(name, address=""):
     """Return a server as the list describes it."""
     return servers.Server(name, 1, "desk", address or f"{name}:1", "z", 6, False, ())
--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -13,7 +13,7 @@
 _TENURE_SECONDS = 5.0
 
 
-class SharedCrashes(crash_guard.CrashPublisher):
+class SharedLedgers(crash_guard.CrashPublisher):
     """Passes crashes on to the ledgers of all processes at once."""
 
     def __init__(self):
@@ -51,10 +51,10 @@
     return types.SimpleNamespace(name=server_id, find_tenure=lambda: tenure)
 
 
-def any_server(server):
+def allow_any_server(server):
     """Allow orders to a server."""
     return True
 
 
-def any_number(listed, model, version):
+def find_no_limit(listed, model, version):
     """Limit nothing."""
--- a/features/server_fakes.py
+++ b/features/server_fakes.py
@@ -12,7 +12,7 @@
 _KINDS = {"idempotent": routes.RouteKind.IDEMPOTENT, "once": routes.RouteKind.ONCE}
 
 
-class UnusedCaller(servers.ServerCaller):
+class FailingCaller(servers.ServerCaller):
     """Reaches no server: a call that a test does not expect fails it."""
 
     def call(self, server, request, deadline, is_cancelled):
@@ -31,13 +31,13 @@
         """Keep nothing that could be forgotten."""
 
 
-class FakeCaller(UnusedCaller):
+class FakeCaller(FailingCaller):
     """Answers as each server was told to."""
 
     def __init__(self, behaviours):
         self.behaviours = behaviours
         self.ran = []
-        self.on_begin = lambda: None
+        self.on_start = lambda: None
         self.on_end = lambda server, behaviour: None
         self.cancelled = threading.Event()
 
@@ -48,7 +48,7 @@
         if behaviour in {"full", "other"}:
             return expression.Ok(_answer(503, behaviour == "full", behaviour == "other"))
         self.ran.append(server.server_id)
-        self.on_begin()
+        self.on_start()
         if behaviour == "lost":
             return expression.Error(servers.CallFailure("reset", True))
         if behaviour.startswith("ends"):
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -10,7 +10,7 @@
 
 _SECONDS = 10.0
 _USUAL_RATE = 5.0
-_LONGEST_WAIT_SECONDS = 0.8
+_MAX_WAIT_SECONDS = 0.8
 _SEED = 5
 _BURST = "o0"
 
@@ -18,44 +18,44 @@
 class Entry:
     """An entry's threads, which run requests in order of arrival; a refused one uses none."""
 
-    def __init__(self, places, service_seconds, has_shares):
+    def __init__(self, places, service_seconds, has_limiter):
         self._free = places
         self._service_seconds = service_seconds
         self._now = 0.0
-        self._shares = fair_share.FairShareLimiter(places, lambda: self._now)
-        self._has_shares = has_shares
+        self._limiter = fair_share.FairShareLimiter(places, lambda: self._now)
+        self._has_limiter = has_limiter
         self._waiting = collections.deque()
-        self._ending = []
+        self._running = []
         self.served = collections.Counter()
         self.asked = collections.Counter()
 
     def play(self, arrivals):
         for at, organisation in arrivals:
-            self._end_until(at)
+            self._finish_until(at)
             self._now = at
             self.asked[organisation] += 1
             self._waiting.append((at, organisation))
-            self._begin()
-        self._end_until(float("inf"))
+            self._start_waiting()
+        self._finish_until(float("inf"))
 
-    def _end_until(self, at):
-        while self._ending and self._ending[0][0] <= at:
-            self._now, organisation = heapq.heappop(self._ending)
+    def _finish_until(self, at):
+        while self._running and self._running[0][0] <= at:
+            self._now, organisation = heapq.heappop(self._running)
             self._free += 1
-            if self._has_shares:
-                self._shares.release(organisation)
-            self._begin()
+            if self._has_limiter:
+                self._limiter.release(organisation)
+            self._start_waiting()
 
-    def _begin(self):
+    def _start_waiting(self):
         while self._free and self._waiting:
             since, organisation = self._waiting.popleft()
-            if self._now - since > _LONGEST_WAIT_SECONDS:
+            if self._now - since > _MAX_WAIT_SECONDS:
                 continue
-            if self._has_shares and not self._shares.try_acquire(organisation):
+            if self._has_limiter and not self._limiter.try_acquire(organisation):
                 continue
             self._free -= 1
             self.served[organisation] += 1
-            heapq.heappush(self._ending, (self._now + self._service_seconds, organisation))
+            heapq.heappush(self._running, (self._now + self._service_seconds, organisation))
 
     def find_worst(self, alone):
         """
@@ -113,24 +113,24 @@
 
 
 @behave.given("an entry with {places:d} slots")
-def create_shares(context, places):
+def create_limiter(context, places):
     context.now = 100.0
-    context.shares = fair_share.FairShareLimiter(places, lambda: context.now)
+    context.limiter = fair_share.FairShareLimiter(places, lambda: context.now)
 
 
 @behave.when("the organisations hold {held} of them and {other} have called {seconds:f} s ago")
-def take_places(context, held, other, seconds):
+def acquire_slots(context, held, other, seconds):
     counts = {name: int(count) for name, count in (item.split("=") for item in held.split())}
     context.now -= seconds
     if other != "none":
-        assert context.shares.try_acquire(other)
-        context.shares.release(other)
+        assert context.limiter.try_acquire(other)
+        context.limiter.release(other)
     context.now += seconds
     for name, count in counts.items():
         for _ in range(count):
-            context.shares.try_acquire(name)
+            context.limiter.try_acquire(name)
 
 
 @behave.then("one more request of red is {verdict}")
 def check_verdict(context, verdict):
-    assert context.shares.try_acquire("red") == (verdict == "let in")
+    assert context.limiter.try_acquire("red") == (verdict == "let in")
--- a/features/steps/crashing_requests_steps.py
+++ b/features/steps/crashing_requests_steps.py
@@ -34,7 +34,7 @@
         time.sleep(_PAUSE_SECONDS)
 
 
-def _list_ends(context):
+def _list_crash_times(context):
     servers = (*context.site.services, *context.site.engines)
     return sorted(ended_at for server in servers for ended_at in server.ended_at)
 
@@ -42,8 +42,8 @@
 @behave.then(
     "at most {most:d} servers run it later than {seconds:d} seconds after it ended the third"
 )
-def check_later(context, most, seconds):
-    ends = _list_ends(context)
+def check_later_crashes(context, most, seconds):
+    ends = _list_crash_times(context)
     later = [at for at in ends if len(ends) > 2 and at > ends[2] + seconds]
     assert ends and len(later) <= most, f"{len(ends)} ended, {len(later)} of them later"
 
@@ -77,7 +77,7 @@
 
 
 @behave.then("within {seconds:d} seconds the other {count:d} items are completed")
-def check_others(context, seconds, count):
+def check_other_items(context, seconds, count):
     until = time.monotonic() + seconds
     while len(_read_states(context)) < count:
         assert time.monotonic() < until, (_read_states(context), context.site.read_logs())
@@ -89,9 +89,9 @@
     "for {seconds:d} seconds at most {most:d} servers run it"
     " later than {after:d} seconds after it ended the third"
 )
-def check_engines(context, seconds, most, after):
+def check_later_crashes_over_time(context, seconds, most, after):
     time.sleep(seconds)
-    check_later(context, most, after)
+    check_later_crashes(context, most, after)
 
 
 @behave.then(
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -19,9 +19,9 @@
 _START_SECONDS = 1000.0
 _TICK_SECONDS = 0.1
 _LOAD_SECONDS = 0.9
-_RETURN_SECONDS = 3.0
-_CONTACT_SECONDS = 3.0
-_CRASHES_KNOWN = 3
+_RESTART_SECONDS = 3.0
+_QUARANTINE_DELAY_SECONDS = 3.0
+_CRASH_THRESHOLD = 3
 _BURST_SECONDS = 4.0
 _LATE_SECONDS = 9.0
 _TABLE = routes.RouteTable(
@@ -35,19 +35,19 @@
 
     name: str
     version: int = _FIRST_VERSION
-    born: int = 1
-    accepted: int = 0
+    started_ms: int = 1
+    accepted_orders: int = 0
     loading: int | None = None
     loaded_at: float = 0.0
     ends_at: float = float("inf")
-    back_at: float | None = None
+    restarts_at: float | None = None
 
     def lose(self, now):
-        self.version, self.loading, self.accepted = _FIRST_VERSION, None, 0
-        self.ends_at, self.back_at = float("inf"), now + _RETURN_SECONDS
+        self.version, self.loading, self.accepted_orders = _FIRST_VERSION, None, 0
+        self.ends_at, self.restarts_at = float("inf"), now + _RESTART_SECONDS
 
 
-class Fleet(server_fakes.UnusedCaller):
+class Fleet(server_fakes.FailingCaller):
     """The servers, and the two processes that order them."""
 
     def __init__(self, count):
@@ -56,7 +56,7 @@
         self.engines = {f"s{n}": LoadingEngine(f"s{n}") for n in range(count)}
         self.ordered_at = []
         self.ended_at = []
-        self.shared = keeper_fakes.SharedCrashes()
+        self.shared = keeper_fakes.SharedLedgers()
         with self.patch_clock():
             names = list(self.engines)
             self.processes = [self._create_process(set(names[n::2])) for n in range(2)]
@@ -70,7 +70,7 @@
             return expression.Error(servers.CallFailure("refused", False))
         models = (servers.ModelVersion(_MODEL, engine.version),)
         is_loading = engine.loading is not None
-        return expression.Ok(servers.EngineState(models, is_loading, engine.accepted))
+        return expression.Ok(servers.EngineState(models, is_loading, engine.accepted_orders))
 
     def order(self, server, order, deadline):
         engine = self._find(server)
@@ -78,7 +78,7 @@
             return servers.OrderUnknown("refused")
         self.ordered_at.append(self.now)
         engine.loading, engine.loaded_at = order.version, self.now + _LOAD_SECONDS
-        engine.accepted += 1
+        engine.accepted_orders += 1
         if self.fatal_seconds is not None:
             engine.ends_at = self.now + self.fatal_seconds
         if self.fatal_seconds == 0.0:
@@ -101,7 +101,7 @@
 
     def restart_all(self):
         for engine in self.engines.values():
-            engine.born += 2
+            engine.started_ms += 2
             self.list_engine(engine)
 
     def lose(self, names):
@@ -115,7 +115,7 @@
 
     def _advance(self):
         for engine in self.engines.values():
-            if engine.back_at is not None:
+            if engine.restarts_at is not None:
                 self._restart(engine)
             elif engine.ends_at <= self.now:
                 self._end(engine)
@@ -130,20 +130,20 @@
             known.remove_server(engine.name)
 
     def _restart(self, engine):
-        if engine.back_at <= self.now:
-            engine.back_at = None
-            engine.born += 1
+        if engine.restarts_at <= self.now:
+            engine.restarts_at = None
+            engine.started_ms += 1
             self.list_engine(engine)
 
     def _find(self, server):
         engine = self.engines[server.server_id]
-        is_there = engine.back_at is None and engine.born == server.started_ms
+        is_there = engine.restarts_at is None and engine.started_ms == server.started_ms
         return engine if is_there else None
 
     def _describe(self, engine):
         models = (servers.ModelVersion(_MODEL, engine.version),)
         return servers.Server(
-            engine.name, engine.born, _BACKEND, f"{engine.name}:1", "z", 8, False, models
+            engine.name, engine.started_ms, _BACKEND, f"{engine.name}:1", "z", 8, False, models
         )
 
     def _create_process(self, owned_ids):
@@ -161,7 +161,7 @@
 
 
 @behave.given("{count:d} servers that two processes order, of which {done:d} runs version 2")
-def create_begun_fleet(context, count, done):
+def create_partly_loaded_fleet(context, count, done):
     context.fleet = Fleet(count)
     with context.fleet.patch_clock():
         for engine in list(context.fleet.engines.values())[:done]:
@@ -173,12 +173,12 @@
     "version {version:d}, which ends a server {fatal:g} s into a load,"
     " is the target for {length:g} s"
 )
-def name_fatal(context, version, fatal, length):
+def publish_fatal_version(context, version, fatal, length):
     context.fleet.run(version, length, fatal)
 
 
 @behave.when("version {version:d}, which ends no server, is the target for {length:g} s")
-def name_sound(context, version, length):
+def publish_sound_version(context, version, length):
     context.fleet.run(version, length, None)
 
 
@@ -193,8 +193,8 @@
 )
 def check_orders(context, most):
     fleet = context.fleet
-    assert len(fleet.ended_at) >= _CRASHES_KNOWN, fleet.ended_at
-    known_at = fleet.ended_at[_CRASHES_KNOWN - 1] + _CONTACT_SECONDS
+    assert len(fleet.ended_at) >= _CRASH_THRESHOLD, fleet.ended_at
+    known_at = fleet.ended_at[_CRASH_THRESHOLD - 1] + _QUARANTINE_DELAY_SECONDS
     later = [at for at in fleet.ordered_at if at > known_at]
     assert len(later) <= most, f"{len(later)} later, {len(fleet.ended_at)} ended in all"
 
@@ -202,7 +202,7 @@
 @behave.then("never more than {most:d} servers ended within 4 s, but at first")
 def check_bursts(context, most):
     ended = context.fleet.ended_at
-    later = [at for at in ended if at > ended[_CRASHES_KNOWN - 1] + _CONTACT_SECONDS]
+    later = [at for at in ended if at > ended[_CRASH_THRESHOLD - 1] + _QUARANTINE_DELAY_SECONDS]
     for begin in later:
         burst = [at for at in later if begin <= at < begin + _BURST_SECONDS]
         assert len(burst) <= most, burst
@@ -215,7 +215,7 @@
 
 
 @behave.when("each server was ordered to load version {version:d} and {end}")
-def order_and_end(context, version, end):
+def order_and_end_load(context, version, end):
     fleet = context.fleet
     known, _ = fleet.processes[0]
     crashes = fleet.shared.ledgers[0]
--- a/features/steps/direct_calls_steps.py
+++ b/features/steps/direct_calls_steps.py
@@ -24,7 +24,7 @@
     context.dispatcher = calls.CallDispatcher(known, chooser, context.caller)
 
 
-def _call(context, kind, most, is_gone=lambda: False):
+def _dispatch_call(context, kind, most, is_gone=lambda: False):
     request = servers.CallRequest("id", "h", "POST", "/", (), b"", kind == "idempotent")
     return context.dispatcher.call(
         server_fakes.build_route(kind, most),
@@ -36,7 +36,7 @@
 
 @behave.when("a {kind} request is called that may be sent to {most:d} servers")
 def call_one(context, kind, most):
-    context.outcome = _call(context, kind, most)
+    context.outcome = _dispatch_call(context, kind, most)
 
 
 @behave.then("the caller gets {outcome}")
@@ -58,7 +58,7 @@
     context.took = []
     for _ in range(count):
         started = time.monotonic()
-        assert isinstance(_call(context, kind, most), call_outcomes.Answered)
+        assert isinstance(_dispatch_call(context, kind, most), call_outcomes.Answered)
         context.took.append((time.monotonic() - started) * 1000)
 
 
@@ -68,24 +68,26 @@
 
 
 @behave.when("a request is called whose caller disconnects after {milliseconds:d} ms")
-def call_leaving(context, milliseconds):
+def call_disconnecting(context, milliseconds):
     leaves_at = time.monotonic() + milliseconds / 1000
     started = time.monotonic()
-    context.outcome = _call(context, "idempotent", 1, lambda: time.monotonic() > leaves_at)
+    context.outcome = _dispatch_call(
+        context, "idempotent", 1, lambda: time.monotonic() > leaves_at
+    )
     context.took = [(time.monotonic() - started) * 1000]
 
 
 @behave.then(
     "the call ends within {milliseconds:d} ms and its server is told that it is cancelled"
 )
-def check_left(context, milliseconds):
+def check_cancelled(context, milliseconds):
     assert context.took[0] < milliseconds, context.took
     assert context.caller.cancelled.wait(1.0)
 
 
 @behave.given("an entry that has {configuration} and {heard} the platform")
 def create_lookup(context, configuration, heard):
-    known = directory.Directory(router.Router(7), server_fakes.UnusedCaller())
+    known = directory.Directory(router.Router(7), server_fakes.FailingCaller())
     if configuration == "a configuration":
         share = (routes.Share("desk", 1),)
         kind = routes.RouteKind.IDEMPOTENT
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -27,7 +27,7 @@
     refusals: list = dataclasses.field(default_factory=list)
 
 
-class PlacesCaller(server_fakes.UnusedCaller):
+class PlacesCaller(server_fakes.FailingCaller):
     """Servers with places; a request that finds none is refused and has not run."""
 
     def __init__(self, places, time):
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -14,8 +14,8 @@
 from oleander_quarantine import ledger
 from oleander_routing import router
 
-_LOOK_SECONDS = 0.05
-_SEEN_VERSIONS = 4
+_STEP_SECONDS = 0.05
+_OBSERVED_VERSIONS = 4
 _QUARANTINE_SECONDS = ledger.BATCH_QUARANTINE_SECONDS + 0.1
 
 
@@ -31,7 +31,7 @@
 
 
 @behave.when("{versions:d} versions of each model were published and loaded")
-def name_versions(context, versions):
+def publish_versions(context, versions):
     context.loads = collections.Counter()
     context.usable = []
     planner = context.planner = plan.OrderPlanner()
@@ -40,13 +40,13 @@
         for model in "abc":
             planner.record_allowed_lag(model, context.lag)
         for version in range(2, versions + 2):
-            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
-            context.named = named
+            targets = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
+            context.targets = targets
             has = [context.versions[key] for key in context.versions if key[1] == "a"]
             context.usable.append(sum(item >= version - context.lag for item in has))
             until = now[0] + context.seconds
             while now[0] < until:
-                for order in _load_planned(context, named):
+                for order in _plan_orders(context, targets):
                     key = (order.server.server_id, order.model)
                     context.versions[key] = order.version
                     context.loads[key] += 1
@@ -71,13 +71,13 @@
     ]
 
 
-def _load_planned(context, named):
+def _plan_orders(context, targets):
     orders = context.planner.plan_orders(
         _list_engines(context),
-        named,
+        targets,
         tuple("abc"),
-        keeper_fakes.any_server,
-        keeper_fakes.any_number,
+        keeper_fakes.allow_any_server,
+        keeper_fakes.find_no_limit,
     )
     for order in orders:
         context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
@@ -93,37 +93,37 @@
     "each of {count:d} further versions of model a that ended servers is ordered to one server"
 )
 def check_trials(context, count):
-    now = [max(target.read_at for target in context.named.values())]
-    newest = context.named["a"].version
+    now = [max(target.read_at for target in context.targets.values())]
+    newest = context.targets["a"].version
     for version in range(newest + 1, newest + count + 1):
         now[0] += context.seconds
         with unittest.mock.patch.object(clock, "read_now", lambda: now[0]):
-            guard = _guard_against(context, version, lambda: now[0])
-            named = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
+            guard = _create_guard(context, version, lambda: now[0])
+            targets = {model: directory.TargetVersion(version, now[0]) for model in "abc"}
             context.planner.plan_orders(
                 _list_engines(context),
-                named,
+                targets,
                 tuple("abc"),
-                keeper_fakes.any_server,
+                keeper_fakes.allow_any_server,
                 guard.find_server_limit,
             )
             now[0] += _QUARANTINE_SECONDS
             orders = context.planner.plan_orders(
                 _list_engines(context),
-                named,
+                targets,
                 tuple("abc"),
-                keeper_fakes.any_server,
+                keeper_fakes.allow_any_server,
                 guard.find_server_limit,
             )
         tried = [order.server.server_id for order in orders if order.model == "a"]
         assert len(tried) == 1, f"version {version} is ordered to {tried}"
 
 
-def _guard_against(context, version, read_now):
+def _create_guard(context, version, read_now):
     """Return a guard that saw servers end while they loaded a version of model a."""
-    known = directory.Directory(router.Router(7), server_fakes.UnusedCaller())
+    known = directory.Directory(router.Router(7), server_fakes.FailingCaller())
     crashes = ledger.CrashLedger(7, read_now)
-    guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedCrashes(), read_now)
+    guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedLedgers(), read_now)
     for number in range(ledger.CRASH_THRESHOLD):
         lost = dataclasses.replace(_list_engines(context)[0], server_id=f"lost-{number}")
         guard.register_load(lost, "a", version)
@@ -149,25 +149,25 @@
 
 
 @behave.when("loads are observed to take {seconds:g} s")
-def see_loads(context, seconds):
+def observe_loads(context, seconds):
     """Name versions, and let each engine say that it has loaded so long after its order."""
     loading = []
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
-        for _ in range(_SEEN_VERSIONS):
+        for _ in range(_OBSERVED_VERSIONS):
             context.version += 1
-            named = {m: directory.TargetVersion(context.version, context.now) for m in "abc"}
+            targets = {m: directory.TargetVersion(context.version, context.now) for m in "abc"}
             until = context.now + context.seconds
             while context.now < until:
                 loading += [
-                    (context.now + seconds, order) for order in _load_planned(context, named)
+                    (context.now + seconds, order) for order in _plan_orders(context, targets)
                 ]
-                context.now += _LOOK_SECONDS
+                context.now += _STEP_SECONDS
                 for item in [item for item in loading if item[0] <= context.now]:
                     loading.remove(item)
-                    _say_loaded(context, item[1])
+                    _report_loaded(context, item[1])
 
 
-def _say_loaded(context, order):
+def _report_loaded(context, order):
     has = (servers.ModelVersion(order.model, order.version),)
     context.planner.record_state(order, servers.EngineState(has, False, 1))
 
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -26,43 +26,45 @@
 
     name: str
     version: int = _FIRST_VERSION
-    loads: int = 0
-    left_seconds: float = 0.0
-    accepted: int = 0
+    loading_version: int = 0
+    remaining_seconds: float = 0.0
+    accepted_orders: int = 0
     changed_at: float = 0.0
-    listed: int = _FIRST_VERSION
+    listed_version: int = _FIRST_VERSION
 
     @property
     def is_loading(self):
-        return self.left_seconds > 0.0
+        return self.remaining_seconds > 0.0
 
 
-class Fleet(server_fakes.UnusedCaller):
+class Fleet(server_fakes.FailingCaller):
     """The servers, and one process for each."""
 
     def __init__(self, count, seconds):
         self.now = _START
         self.seconds = seconds
         self.engines = {f"s{n}": LoadingEngine(f"s{n}") for n in range(count)}
-        self.named = {}
-        self.most_loading = 0
-        self.asked = 0
-        self.ordering = ""
-        self.shared = keeper_fakes.SharedCrashes()
+        self.targets = {}
+        self.max_loading = 0
+        self.asked_count = 0
+        self.ordering_id = ""
+        self.shared = keeper_fakes.SharedLedgers()
         self.keepers = {name: self._create_keeper(name) for name in self.engines}
 
     def read_state(self, server, deadline):
-        self.asked += self.ordering != server.server_id
+        self.asked_count += self.ordering_id != server.server_id
         engine = self.engines[server.server_id]
         models = (servers.ModelVersion(_MODEL, engine.version),)
-        return expression.Ok(servers.EngineState(models, engine.is_loading, engine.accepted))
+        return expression.Ok(
+            servers.EngineState(models, engine.is_loading, engine.accepted_orders)
+        )
 
     def order(self, server, order, deadline):
         engine = self.engines[server.server_id]
         assert not engine.is_loading, order
-        engine.loads = order.version
-        engine.left_seconds = self.seconds
-        engine.accepted += 1
+        engine.loading_version = order.version
+        engine.remaining_seconds = self.seconds
+        engine.accepted_orders += 1
         return servers.OrderAccepted(is_done=False)
 
     def run(self, until):
@@ -70,7 +72,7 @@
             while self.now < until:
                 self._advance()
                 for name, keeper in self.keepers.items():
-                    self.ordering = name
+                    self.ordering_id = name
                     keeper.order_due()
 
     def list_servers(self, backend):
@@ -83,7 +85,7 @@
                 "z",
                 8,
                 False,
-                (servers.ModelVersion(_MODEL, engine.listed),),
+                (servers.ModelVersion(_MODEL, engine.listed_version),),
             )
             for engine in self.engines.values()
         ]
@@ -91,15 +93,15 @@
     def _advance(self):
         self.now += _TICK_SECONDS
         loading = [engine for engine in self.engines.values() if engine.is_loading]
-        self.most_loading = max(self.most_loading, len(loading))
+        self.max_loading = max(self.max_loading, len(loading))
         slower = max(1.0, len(loading) / max(2, len(self.engines) / 3))
         for engine in loading:
-            engine.left_seconds -= _TICK_SECONDS / slower
+            engine.remaining_seconds -= _TICK_SECONDS / slower
             if not engine.is_loading:
-                engine.version, engine.changed_at = engine.loads, self.now
+                engine.version, engine.changed_at = engine.loading_version, self.now
         for engine in self.engines.values():
             if self.now - engine.changed_at >= _LIST_SECONDS:
-                engine.listed = engine.version
+                engine.listed_version = engine.version
 
     def _create_keeper(self, name):
         table = routes.RouteTable(
@@ -108,7 +110,7 @@
         known = types.SimpleNamespace(
             table=table,
             list_servers=self.list_servers,
-            list_target_versions=lambda: self.named,
+            list_target_versions=lambda: self.targets,
             add_loss_callback=lambda on_lost: None,
         )
         return keeper_fakes.create_keeper(known, {name}, self, self.shared)
@@ -121,39 +123,39 @@
 
 
 @behave.when("{count:d} of them never finish loading")
-def hang(context, count):
+def block_loads(context, count):
     context.stuck = set(list(context.fleet.engines)[:count])
     for name in context.stuck:
-        context.fleet.engines[name].left_seconds = float("inf")
+        context.fleet.engines[name].remaining_seconds = float("inf")
 
 
 @behave.when("{count:d} versions are published, one every {seconds:d} s")
-def name_versions(context, count, seconds):
+def publish_versions(context, count, seconds):
     fleet = context.fleet
     for version in range(_FIRST_VERSION + 1, _FIRST_VERSION + 1 + count):
-        fleet.named = {_MODEL: directory.TargetVersion(version, fleet.now)}
-        context.last_named_at = fleet.now
-        context.last = version
+        fleet.targets = {_MODEL: directory.TargetVersion(version, fleet.now)}
+        context.last_published_at = fleet.now
+        context.last_version = version
         if version < _FIRST_VERSION + count:
             fleet.run(fleet.now + seconds)
 
 
 @behave.then("never more than {most:d} servers load at once")
 def check_most(context, most):
-    assert context.fleet.most_loading <= most, context.fleet.most_loading
+    assert context.fleet.max_loading <= most, context.fleet.max_loading
 
 
 @behave.then("after the last is published, every {kind} has it within {seconds:d} s")
 def check_loaded(context, kind, seconds):
-    context.fleet.run(context.last_named_at + seconds)
+    context.fleet.run(context.last_published_at + seconds)
     has = {
         name: engine.version
         for name, engine in context.fleet.engines.items()
         if name not in context.stuck
     }
-    assert set(has.values()) == {context.last}, has
+    assert set(has.values()) == {context.last_version}, has
 
 
 @behave.then("the processes asked other servers at most {most:d} times")
 def check_asked(context, most):
-    assert context.fleet.asked <= most, context.fleet.asked
+    assert context.fleet.asked_count <= most, context.fleet.asked_count
--- a/features/steps/order_rights_steps.py
+++ b/features/steps/order_rights_steps.py
@@ -11,7 +11,7 @@
 
 _TOPIC = "leases"
 _GAP_SECONDS = 3.0
-_LOOK_SECONDS = 0.05
+_STEP_SECONDS = 0.05
 
 
 class Holders:
@@ -21,7 +21,7 @@
         self.now = 1000.0
         self._log = recordlog.MemoryRecordLog()
         self._clients = {name: self._log.create_client() for name in names}
-        self._rights = {
+        self._leases = {
             name: lease.FencedLease(client, _TOPIC, name, _GAP_SECONDS)
             for name, client in self._clients.items()
         }
@@ -31,7 +31,7 @@
             "up": lambda name: setattr(self._clients[name].faults, "is_down", False),
             "lost": lambda name: setattr(self._clients[name].faults, "lost_answers", 1),
             "late": lambda name: setattr(self._clients[name].faults, "late_appends", 1),
-            "release": lambda name: self._rights[name].release(),
+            "release": lambda name: self._leases[name].release(),
             "restart": self._restart,
         }
 
@@ -40,7 +40,7 @@
         with unittest.mock.patch.object(clock, "read_now", lambda: self.now):
             yield
 
-    def act(self, word):
+    def run_word(self, word):
         if word == "late":
             for client in self._clients.values():
                 client.apply_late()
@@ -50,25 +50,25 @@
             name, action = word.split(".")
             self._actions[action](name)
         elif word.endswith("+"):
-            self._rights[word[0]].acquire_or_renew(0)
-            self._look()
+            self._leases[word[0]].acquire_or_renew(0)
+            self._record_permissions()
         else:
-            self._look()
-            may_order = self._rights[word[0]].find_tenure() is not None
+            self._record_permissions()
+            may_order = self._leases[word[0]].find_tenure() is not None
             assert may_order == word.endswith("?"), (word, self.now)
 
     def _restart(self, name):
-        self._rights[name] = lease.FencedLease(self._clients[name], _TOPIC, name, _GAP_SECONDS)
+        self._leases[name] = lease.FencedLease(self._clients[name], _TOPIC, name, _GAP_SECONDS)
 
     def _pass_time(self, seconds):
         until = self.now + seconds
         while self.now < until:
-            self.now += _LOOK_SECONDS
-            self._look()
+            self.now += _STEP_SECONDS
+            self._record_permissions()
 
-    def _look(self):
+    def _record_permissions(self):
         """Note who may order now: it could order at any of these moments."""
-        for name, held in self._rights.items():
+        for name, held in self._leases.items():
             tenure = held.find_tenure()
             if tenure is not None:
                 self.permissions.append((self.now, name, tenure.fencing_token, held.name))
@@ -80,10 +80,10 @@
 
 
 @behave.when("the holders do {script}")
-def act_holders(context, script):
+def run_script(context, script):
     with context.holders.simulate():
         for word in script.split():
-            context.holders.act(word)
+            context.holders.run_word(word)
 
 
 @behave.then("no two holders could order within the gap")
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -11,7 +11,7 @@
 from oleander_orders import load_capacity, placement, plan
 
 
-def _engine(name, version):
+def _build_engine(name, version):
     models = (servers.ModelVersion("m", version),)
     return servers.Server(name, 1, "engines", "127.0.0.1:1", "z", 8, False, models)
 
@@ -19,9 +19,9 @@
 @behave.given("the engines {engines} and the target versions {named}")
 def create_engines(context, engines, named):
     pairs = (item.split("=") for item in engines.split())
-    context.engines = [_engine(name, int(version)) for name, version in pairs]
+    context.engines = [_build_engine(name, int(version)) for name, version in pairs]
     context.now = 1000.0
-    context.named = {
+    context.targets = {
         model: directory.TargetVersion(int(version), context.now)
         for model, version in (item.split("=") for item in named.split())
     }
@@ -42,10 +42,10 @@
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         chosen = context.planner.plan_orders(
             context.engines,
-            context.named,
+            context.targets,
             ("m",),
             lambda server: ids == "all" or server.server_id in ids.split(),
-            keeper_fakes.any_number,
+            keeper_fakes.find_no_limit,
         )
         for order in chosen:
             context.planned.append(order)
@@ -61,8 +61,8 @@
 
 
 @behave.when("version {version:d} is published")
-def name_version(context, version):
-    context.named = {"m": directory.TargetVersion(version, context.now)}
+def publish_version(context, version):
+    context.targets = {"m": directory.TargetVersion(version, context.now)}
     _plan_once(context, "all")
 
 
@@ -77,10 +77,10 @@
     pairs = [item.split("=") for item in has.split()]
     models = tuple(servers.ModelVersion(model, int(version)) for model, version in pairs)
     context.engine = servers.Server("s1", 1, "engines", "127.0.0.1:1", "z", 8, False, models)
-    context.named = {}
+    context.targets = {}
     for item in named.split():
         model, version, seen_at = item.replace("@", "=").split("=")
-        context.named[model] = directory.TargetVersion(int(version), 1000.0 + float(seen_at))
+        context.targets[model] = directory.TargetVersion(int(version), 1000.0 + float(seen_at))
 
 
 @behave.then("it is ordered to load {model} first")
@@ -88,10 +88,10 @@
     with unittest.mock.patch.object(clock, "read_now", lambda: 1100.0):
         orders = plan.OrderPlanner().plan_orders(
             [context.engine],
-            context.named,
+            context.targets,
             tuple("abc"),
-            keeper_fakes.any_server,
-            keeper_fakes.any_number,
+            keeper_fakes.allow_any_server,
+            keeper_fakes.find_no_limit,
         )
     assert [order.model for order in orders] == [model], orders
 
@@ -129,14 +129,14 @@
 
 
 @behave.when("an order to it ends as {outcome}")
-def note_outcome(context, outcome):
+def record_outcome(context, outcome):
     outcomes = {
         "taken": servers.OrderAccepted(is_done=False),
         "done": servers.OrderAccepted(is_done=True),
         "refused": servers.OrderRefused("409"),
         "unknown": servers.OrderUnknown("no answer"),
     }
-    context.server = _engine("s1", 1)
+    context.server = _build_engine("s1", 1)
     context.planner = plan.OrderPlanner()
     order = plan.PlannedOrder(context.server, "m", 2)
     accepted = context.planner.count_accepted(context.server, context.state)
@@ -149,7 +149,7 @@
 
 
 @behave.given("versions of a model that come every {seconds:d} s")
-def start_pace(context, seconds):
+def publish_versions(context, seconds):
     context.now = 1000.0
     context.capacity = load_capacity.LoadCapacity()
     for _ in range(3):
@@ -164,6 +164,6 @@
 
 
 @behave.then("{count:d} servers of which {at_once:d} load at once {state}")
-def check_pace(context, count, at_once, state):
+def check_capacity(context, count, at_once, state):
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         assert context.capacity.exceeds_capacity(count, at_once) == (state == "can't keep up")
--- a/features/steps/organisations_steps.py
+++ b/features/steps/organisations_steps.py
@@ -18,7 +18,7 @@
 _LIMITS = routes.Limits(1, 1, 1)
 
 
-def _ring(names):
+def _build_key_ring(names):
     if names == "without":
         return None
     return organisations.KeyRing(item for item in (_RED, _BLUE) if item.name in names.split())
@@ -26,7 +26,7 @@
 
 @behave.given("the organisations are {configured} and the newest configuration is {age}")
 def configure(context, configured, age):
-    context.ring = _ring(configured)
+    context.keys = _build_key_ring(configured)
     context.is_current = age == "known"
 
 
@@ -34,7 +34,7 @@
 def call_with_header(context, header, kind):
     header = "" if header == "none" else header
     context.caller = organisations.identify_caller(
-        context.ring, header, kind == "public", context.is_current
+        context.keys, header, kind == "public", context.is_current
     )
 
 
@@ -61,20 +61,22 @@
 def create_entry(context, configuration, seconds):
     context.now = 1000.0
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
-        context.known = directory.Directory(router.Router(1), server_fakes.UnusedCaller())
+        context.directory = directory.Directory(router.Router(1), server_fakes.FailingCaller())
         if configuration == "a configuration":
-            context.known.update_table(routes.RouteTable(1, (), (), _LIMITS, _ring("red")))
-        context.known.record_configuration_read()
+            context.directory.update_table(
+                routes.RouteTable(1, (), (), _LIMITS, _build_key_ring("red"))
+            )
+        context.directory.record_configuration_read()
         context.now += seconds
-        context.known.record_list_read()
+        context.directory.record_list_read()
 
 
 @behave.when("a caller presents {key}")
-def present_key(context, key):
-    entry = types.SimpleNamespace(_known=context.known)
+def look_up_key(context, key):
+    entry = types.SimpleNamespace(_known=context.directory)
     entry._is_silent = lambda: direct_entry.DirectEntry._is_silent(entry)
     lookup = route_lookup.RouteLookup(
-        context.known, lambda: direct_entry.DirectEntry._is_outdated(entry)
+        context.directory, lambda: direct_entry.DirectEntry._is_outdated(entry)
     )
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         context.found = lookup.identify(f"Bearer {key}", False, "id")
@@ -104,16 +106,16 @@
 
 
 @behave.given("{count:d} organisations of two keys each")
-def create_many(context, count):
-    context.ring = organisations.KeyRing(
+def create_organisations(context, count):
+    context.keys = organisations.KeyRing(
         organisations.Organisation(f"o{n}", (f"a{n}", f"b{n}"), None) for n in range(count)
     )
 
 
 @behave.then("a key is found by comparing it with at most {most:d} others")
-def check_cost(context, most):
+def check_comparisons(context, most):
     key = _CountedKey("b70")
-    assert context.ring.find_organisation(key).name == "o70"
+    assert context.keys.find_organisation(key).name == "o70"
     assert key.compared <= most, key.compared
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -26,7 +26,7 @@
 }
 
 
-class Published(crash_guard.CrashPublisher):
+class RecordingPublisher(crash_guard.CrashPublisher):
     """Keeps what was published."""
 
     def __init__(self):
@@ -44,10 +44,10 @@
     context.now = _START_SECONDS
     context.ledger = ledger.CrashLedger(crash_fakes.SEED, lambda: context.now)
     for item in listed.split(", "):
-        _apply(context.ledger, item)
+        _apply_event(context.ledger, item)
 
 
-def _apply(crashes, item):
+def _apply_event(crashes, item):
     server, _, what = item.partition(" ")
     key = records.create_crash(crash_fakes.FINGERPRINT, server, True).key
     if server == "answered":
@@ -60,10 +60,10 @@
 
 
 @behave.when("{seconds:d} s pass, then server {server} ends while running it")
-def end_later(context, seconds, server):
+def crash_later(context, seconds, server):
     context.now += seconds
     context.ledger.pop_expired()
-    _apply(context.ledger, server)
+    _apply_event(context.ledger, server)
 
 
 @behave.when("{seconds:d} s pass")
@@ -99,12 +99,12 @@
     behaviours = dict(item.split("=") for item in listed.split())
     context.caller = server_fakes.FakeCaller(behaviours)
     chooser = router.Router(7)
-    context.known = known = directory.Directory(chooser, context.caller)
-    context.caller.on_end = lambda server, behaviour: _end(known, server, behaviour)
+    context.directory = known = directory.Directory(chooser, context.caller)
+    context.caller.on_end = lambda server, behaviour: _update_list(known, server, behaviour)
     for name in behaviours:
-        known.update_server(crash_fakes.describe_server(name))
+        known.update_server(crash_fakes.build_server(name))
     context.ledger = ledger.CrashLedger(crash_fakes.SEED)
-    context.published = Published()
+    context.published = RecordingPublisher()
     context.later_seconds = 0
     guard = crash_guard.CrashGuard(
         known,
@@ -115,7 +115,7 @@
     context.dispatcher = calls.CallDispatcher(known, chooser, context.caller, guard=guard)
 
 
-def _end(known, server, behaviour):
+def _update_list(known, server, behaviour):
     """Let the list say what it said of a server that ended as planned."""
     if behaviour == "ends-leaving":
         known.update_server(dataclasses.replace(server, is_leaving=True))
@@ -124,11 +124,11 @@
 
 
 @behave.given("in an earlier attempt of the request, {before}")
-def end_before(context, before):
+def crash_before(context, before):
     if before.startswith("a server ended"):
-        _apply(context.ledger, "X")
+        _apply_event(context.ledger, "X")
     if before.endswith("on its way back"):
-        context.caller.on_begin = lambda: context.ledger.record_answer(crash_fakes.FINGERPRINT)
+        context.caller.on_start = lambda: context.ledger.record_answer(crash_fakes.FINGERPRINT)
 
 
 def _call(context, request, most):
@@ -173,7 +173,7 @@
 
 
 @behave.then("the entry {belief} it")
-def check_belief(context, belief):
+def check_suspicion(context, belief):
     is_suspect = context.ledger.is_suspect(crash_fakes.FINGERPRINT)
     assert is_suspect == (belief == "still suspects"), context.outcome
 
@@ -188,23 +188,23 @@
 def _answer_another(context):
     context.caller.behaviours["A"] = "ok"
     _call(context, dataclasses.replace(crash_fakes.REQUEST, body=b"sound"), 1)
-    context.known.remove_server("A")
+    context.directory.remove_server("A")
 
 
 def _leave(context):
-    context.known.update_server(
-        dataclasses.replace(crash_fakes.describe_server("A"), is_leaving=True)
+    context.directory.update_server(
+        dataclasses.replace(crash_fakes.build_server("A"), is_leaving=True)
     )
-    context.known.remove_server("A")
+    context.directory.remove_server("A")
 
 
 _LOSSES = {
-    "is gone from the list": lambda context: context.known.remove_server("A"),
-    "starts again under its id": lambda context: context.known.update_server(
-        dataclasses.replace(crash_fakes.describe_server("A"), started_ms=2)
+    "is gone from the list": lambda context: context.directory.remove_server("A"),
+    "starts again under its id": lambda context: context.directory.update_server(
+        dataclasses.replace(crash_fakes.build_server("A"), started_ms=2)
     ),
-    "has a successor at its address": lambda context: context.known.update_server(
-        crash_fakes.describe_server("Z", "A:1")
+    "has a successor at its address": lambda context: context.directory.update_server(
+        crash_fakes.build_server("Z", "A:1")
     ),
     "leaves and is gone": _leave,
     "answers another and is gone": _answer_another,
@@ -225,4 +225,4 @@
 
 @behave.when("server A is listed again")
 def list_again(context):
-    context.known.update_server(crash_fakes.describe_server("A"))
+    context.directory.update_server(crash_fakes.build_server("A"))
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -25,9 +25,9 @@
         self.log = shared.create_client()
         self.crashes = ledger.CrashLedger(crash_fakes.SEED)
         self.group = tasks.TaskGroup(name, 4)
-        known = directory.Directory(router.Router(7), server_fakes.UnusedCaller())
+        known = directory.Directory(router.Router(7), server_fakes.FailingCaller())
         for server in "AB":
-            known.update_server(crash_fakes.describe_server(server))
+            known.update_server(crash_fakes.build_server(server))
         topic = crash_records.TOPIC
         writer = crash_records.CrashWriter(self.crashes, self.log, topic, self.group)
         sink = crash_records.CrashSink(self.crashes)
@@ -42,11 +42,11 @@
         self.group.join(clock.start_deadline(_DEADLINE_SECONDS))
 
     def finish(self, server, has_crashed):
-        watch = self._guard.begin(crash_fakes.REQUEST, crash_fakes.describe_server(server))
+        watch = self._guard.begin(crash_fakes.REQUEST, crash_fakes.build_server(server))
         ends = crash_guard.AttemptEnd
         self._guard.finish(watch, ends.SERVER_ENDED if has_crashed else ends.ANSWERED)
 
-    def keeps_back(self):
+    def has_quarantine(self):
         return self.crashes.find_quarantine(crash_fakes.FINGERPRINT) is not None
 
 
@@ -58,11 +58,11 @@
         for entry in context.entries.values():
             entry.log.faults.is_down = True
     if state == "away for a time":
-        timer = threading.Timer(0.5, _heal, (list(context.entries.values()),))
+        timer = threading.Timer(0.5, _restore_log, (list(context.entries.values()),))
         timer.start()
 
 
-def _heal(entries):
+def _restore_log(entries):
     for entry in entries:
         entry.log.faults.is_down = False
 
@@ -70,22 +70,22 @@
 @behave.when(
     "server A ends while running a request of the first entry, and server B of the {name}"
 )
-def end_two(context, name):
+def crash_two(context, name):
     context.entries["first"].finish("A", True)
     context.entries[name].finish("B", True)
 
 
 @behave.then("the request is quarantined at {who} within {seconds:d} s")
-def check_kept(context, who, seconds):
+def check_quarantined(context, who, seconds):
     names = {"both": ("first", "second"), "the first": ("first",)}.get(who)
     if names is None:
-        front_platform.wait_until(context.entries["second"].keeps_back, lambda: "not kept")
+        front_platform.wait_until(context.entries["second"].has_quarantine, lambda: "not kept")
         names = ("third",)
         context.entries["third"] = Entry(context, context.shared, "third")
     deadline = clock.start_deadline(seconds)
     waiting = threading.Event()
-    while not all(context.entries[name].keeps_back() for name in names):
-        assert not deadline.is_past, {n: e.keeps_back() for n, e in context.entries.items()}
+    while not all(context.entries[name].has_quarantine() for name in names):
+        assert not deadline.is_past, {n: e.has_quarantine() for n, e in context.entries.items()}
         waiting.wait(0.02)
 
 
@@ -93,7 +93,7 @@
     "server A ends while running a request of the first entry,"
     " and server B answers it at the second"
 )
-def end_and_answer(context):
+def crash_and_answer(context):
     context.entries["first"].finish("A", True)
     second = context.entries["second"]
     front_platform.wait_until(
@@ -117,7 +117,7 @@
 
 
 @behave.then("a record of a crash with key {key} and value {value} changes nothing")
-def check_unreadable(context, key, value):
+def check_undecodable(context, key, value):
     crashes = ledger.CrashLedger(crash_fakes.SEED)
     sink = crash_records.CrashSink(crashes)
     read = recordlog.read_keyed(
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -29,7 +29,7 @@
     """The process ends at this place."""
 
 
-class ReportedTo(platform.DutyPlatform):
+class RecordingPlatform(platform.DutyPlatform):
     """The platform as one process reaches it."""
 
     def __init__(self, site, name):
@@ -46,7 +46,7 @@
             return platform.DutyUnknown("no answer")
         if site.is_platform_down:
             return platform.DutyUnknown("status 503")
-        site.take(self._name, report, holder)
+        site.record_report(self._name, report, holder)
         if site.lost_answers:
             site.lost_answers -= 1
             return platform.DutyUnknown("no answer")
@@ -63,7 +63,13 @@
         self.lease = lease.FencedLease(self.client, "duties", name, _GAP_SECONDS)
         owned = types.SimpleNamespace(owns=lambda partition: site.find_owner() == name)
         self.reporter = usage_reporter.UsageReporter(
-            _SETTINGS, self.client, self.lease, owned, self.counter, ReportedTo(site, name), None
+            _SETTINGS,
+            self.client,
+            self.lease,
+            owned,
+            self.counter,
+            RecordingPlatform(site, name),
+            None,
         )
         self.is_frozen = False
         self._flush_at = self._hold_at = 0.0
@@ -78,7 +84,7 @@
         self.reporter.report_due()
 
 
-class Reporting:
+class ReportingSite:
     """Several processes on one simulated clock, with all that the platform was told."""
 
     def __init__(self, names):
@@ -86,9 +92,9 @@
         self.names = names
         self._log = recordlog.MemoryRecordLog()
         self.clients = {name: self._log.create_client() for name in names}
-        self.told = []
+        self.reports = []
         self.dying, self.stalling, self.stalled = set(), set(), []
-        self.chosen_owner = ""
+        self.owner = ""
         self.is_platform_down = False
         self.lost_answers = 0
         self._counted = collections.defaultdict(list)
@@ -104,8 +110,8 @@
 
     def find_owner(self):
         """Return to whom the duty falls: who was chosen, or the first that reaches the log."""
-        if self.chosen_owner:
-            return self.chosen_owner
+        if self.owner:
+            return self.owner
         reachable = [
             name
             for name, process in self._processes.items()
@@ -115,10 +121,10 @@
         ]
         return min(reachable, default=None)
 
-    def take(self, name, report, holder):
-        self.told.append((self.now, name, report, holder.fencing_token))
+    def record_report(self, name, report, holder):
+        self.reports.append((self.now, name, report, holder.fencing_token))
 
-    def act(self, word):
+    def run_word(self, word):
         if word.endswith("s") and word[0].isdigit():
             self._pass_time(float(word[:-1]))
         elif word == "late":
@@ -128,7 +134,7 @@
             deadline = clock.start_deadline(1.0)
             self._log.append(usage_reporter.USAGE_TOPIC, 0, [b"\xff", b""], deadline)
         elif word.startswith("owner."):
-            self.chosen_owner = word.removeprefix("owner.")
+            self.owner = word.removeprefix("owner.")
         elif word.startswith("platform."):
             self._change_platform(word.removeprefix("platform."))
         else:
@@ -174,7 +180,7 @@
         """Let calls arrive that were held up on their way."""
         self.stalling.discard(name)
         for sender, report, holder in self.stalled:
-            counts = next(r.counts for _, _, r, _ in self.told if r.window == report.window)
+            counts = next(r.counts for _, _, r, _ in self.reports if r.window == report.window)
             assert (sender, report.counts) == (name, counts), (report, counts, holder)
 
     def _pass_time(self, seconds):
@@ -192,31 +198,31 @@
 
 @behave.given("the processes {names} that report usage")
 def create_processes(context, names):
-    context.reporting = Reporting(names.split())
+    context.reporting = ReportingSite(names.split())
 
 
 @behave.when("they do {script}")
 def act_processes(context, script):
     with context.reporting.simulate():
         for word in script.split():
-            context.reporting.act(word)
+            context.reporting.run_word(word)
 
 
-def _find_told(context, window):
-    return [item for item in context.reporting.told if item[2].window == _FIRST_WINDOW + window]
+def _find_reports(context, window):
+    return [item for item in context.reporting.reports if item[2].window == _FIRST_WINDOW + window]
 
 
 @behave.then("window {window:d} was reported with {counts} in time")
 def check_in_time(context, window, counts):
     check_reported(context, window, counts)
     due_at = _START_SECONDS + (window + 1) * _WINDOW_MS / 1000 + _DUE_MS / 1000
-    assert _find_told(context, window)[0][0] <= due_at, _find_told(context, window)
+    assert _find_reports(context, window)[0][0] <= due_at, _find_reports(context, window)
 
 
 @behave.then("window {window:d} was reported with {counts}")
 def check_reported(context, window, counts):
-    told = _find_told(context, window)
-    assert told, context.reporting.told
+    told = _find_reports(context, window)
+    assert told, context.reporting.reports
     seen = " ".join(f"{name}={count}" for name, count in sorted(told[0][2].counts.items()))
     assert (seen or "nothing") == counts, told
 
@@ -224,13 +230,13 @@
 @behave.then("no window was reported with two counts")
 def check_counts(context):
     known = {}
-    for _, _, report, _ in context.reporting.told:
+    for _, _, report, _ in context.reporting.reports:
         assert known.setdefault(report.window, report.counts) == report.counts, report
 
 
 @behave.then("no two processes reported within the gap, and fencing tokens only grew")
 def check_holders(context):
-    told = context.reporting.told
+    told = context.reporting.reports
     for earlier, later in zip(told, told[1:], strict=False):
         assert later[3] >= earlier[3], (earlier, later)
         if earlier[1] != later[1]:
@@ -283,5 +289,5 @@
 
 @behave.then("a usage record of the bytes {content} can't be read")
 @behave.then("a usage record of the bytes  can't be read")
-def check_unreadable(context, content=""):
+def check_undecodable(context, content=""):
     assert usage_records.decode_record(bytes.fromhex(content)).is_error()
