--- a/features/crash_fakes.py
+++ b/features/crash_fakes.py
@@ -1,4 +1,4 @@
-"""A request under which servers end, and a server, for tests of crashes."""
+"""A request and a server for tests of crashes and quarantine."""
 
 from oleander_direct import fingerprints, servers
 
@@ -8,5 +8,5 @@
 
 
 def build_server(name, address=""):
-    """Return a server as the list describes it."""
+    """Return a server of the backend "desk", with an address derived from its name."""
     return servers.Server(name, 1, "desk", address or f"{name}:1", "z", 6, False, ())
--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -1,4 +1,4 @@
-"""A version keeper of a test, whose rights and batches are faked."""
+"""A version keeper for tests, with fake leases and without batches."""
 
 import types
 
@@ -14,7 +14,7 @@
 
 
 class SharedLedgers(crash_guard.CrashPublisher):
-    """Passes crashes on to the ledgers of all processes at once."""
+    """Publishes crashes to the ledgers of all processes at once."""
 
     def __init__(self):
         self.ledgers = []
@@ -30,7 +30,7 @@
 
 
 def create_keeper(known, owned_ids, caller, shared):
-    """Return a keeper that has the right to order some servers and knows of no batches."""
+    """Return a keeper that holds the leases of some servers and has no batches."""
     crashes = ledger.CrashLedger(_SEED, lambda: clock.read_now())
     shared.ledgers.append(crashes)
     loads = load_guard.LoadGuard(known, crashes, shared, lambda: clock.read_now())
@@ -57,4 +57,4 @@
 
 
 def find_no_limit(listed, model, version):
-    """Limit nothing."""
+    """Return no limit on the servers that may load a version."""
--- a/features/server_fakes.py
+++ b/features/server_fakes.py
@@ -1,4 +1,4 @@
-"""Backend servers of a test, which says what those do that it uses."""
+"""Fake callers of backend servers, whose behaviour each test chooses."""
 
 import threading
 import time
@@ -13,7 +13,7 @@
 
 
 class FailingCaller(servers.ServerCaller):
-    """Reaches no server: a call that a test does not expect fails it."""
+    """Fails the test on every call; a subclass overrides the calls that its test expects."""
 
     def call(self, server, request, deadline, is_cancelled):
         raise AssertionError
@@ -28,11 +28,11 @@
         raise AssertionError
 
     def close_idle(self, address):
-        """Keep nothing that could be forgotten."""
+        """Do nothing, since there are no connections."""
 
 
 class FakeCaller(FailingCaller):
-    """Answers as each server was told to."""
+    """Answers calls by the behaviour stated for each server, and records which ones ran."""
 
     def __init__(self, behaviours):
         self.behaviours = behaviours
@@ -75,7 +75,7 @@
 
 
 def build_route(kind, max_servers):
-    """Return a route of a kind whose requests may go to so many servers."""
+    """Return a route of a kind whose requests may each be sent to `max_servers` servers."""
     share = (routes.Share("desk", 1),)
     kind = _KINDS[kind]
     return routes.Route("r", "h", "/", kind, 5000, 150, 0, share, max_servers, False, False, 0, 0)
--- a/features/steps/crashing_requests_steps.py
+++ b/features/steps/crashing_requests_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that end the servers that run them."""
+"""Steps for requests that crash the servers running them, in a whole deployment."""
 
 import json
 import time
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -1,4 +1,4 @@
-"""Steps for weights that end the servers that load them; time is simulated."""
+"""Steps for weights that crash the servers loading them; time is simulated."""
 
 import dataclasses
 import unittest.mock
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadingEngine:
-    """A server that loads when it is ordered to; without an end it runs."""
+    """A simulated engine that loads weights as ordered, and may end and restart."""
 
     name: str
     version: int = _FIRST_VERSION
@@ -48,7 +48,7 @@
 
 
 class Fleet(server_fakes.FailingCaller):
-    """The servers, and the two processes that order them."""
+    """The simulated engines, with the two processes that order them."""
 
     def __init__(self, count):
         self.now = _START_SECONDS
--- a/features/steps/direct_calls_steps.py
+++ b/features/steps/direct_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls to backend servers without sidecars."""
+"""Steps for direct calls to backend servers, and for route lookups."""
 
 import time
 
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a fleet that loads the versions of three models; time is simulated."""
+"""Steps for a fleet of engines that load versions of three models; time is simulated."""
 
 import collections
 import dataclasses
@@ -120,7 +120,7 @@
 
 
 def _create_guard(context, version, read_now):
-    """Return a guard that saw servers end while they loaded a version of model a."""
+    """Return a guard that has recorded enough crashes of a version of model a to quarantine it."""
     known = directory.Directory(router.Router(7), server_fakes.FailingCaller())
     crashes = ledger.CrashLedger(7, read_now)
     guard = load_guard.LoadGuard(known, crashes, keeper_fakes.SharedLedgers(), read_now)
@@ -150,7 +150,7 @@
 
 @behave.when("loads are observed to take {seconds:g} s")
 def observe_loads(context, seconds):
-    """Name versions, and let each engine say that it has loaded so long after its order."""
+    """Publish versions; each engine reports its load as done `seconds` after the order."""
     loading = []
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         for _ in range(_OBSERVED_VERSIONS):
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -1,4 +1,4 @@
-"""Steps for loads of weights that several processes order; time is simulated."""
+"""Steps for weight loads that are ordered by several processes; time is simulated."""
 
 import dataclasses
 import types
@@ -15,14 +15,14 @@
 _MODEL = "m"
 _TICK_SECONDS = 0.1
 _LIST_SECONDS = 1.0
-"""How late the list tells what a server has."""
+"""How long after a load the server list shows the new version."""
 _FIRST_VERSION = 1
 _START = 1000.0
 
 
 @dataclasses.dataclass(slots=True)
 class LoadingEngine:
-    """A server that loads when it is ordered to."""
+    """A simulated engine that loads weights as ordered."""
 
     name: str
     version: int = _FIRST_VERSION
@@ -38,7 +38,7 @@
 
 
 class Fleet(server_fakes.FailingCaller):
-    """The servers, and one process for each."""
+    """The simulated engines, each ordered by a process of its own."""
 
     def __init__(self, count, seconds):
         self.now = _START
--- a/features/steps/order_rights_steps.py
+++ b/features/steps/order_rights_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the right to order; time is simulated."""
+"""Steps for the lease that gives the right to order servers; time is simulated."""
 
 import contextlib
 import unittest.mock
@@ -15,7 +15,7 @@
 
 
 class Holders:
-    """Several processes that want the right, on one simulated clock."""
+    """Several processes that contend for the lease, on one simulated clock."""
 
     def __init__(self, names):
         self.now = 1000.0
@@ -67,11 +67,11 @@
             self._record_permissions()
 
     def _record_permissions(self):
-        """Note who may order now: it could order at any of these moments."""
+        """Record which processes may order at this moment."""
         for name, held in self._leases.items():
             tenure = held.find_tenure()
             if tenure is not None:
-                self.permissions.append((self.now, name, tenure.fencing_token, held.name))
+                self.permissions.append((self.now, name, tenure.fencing, held.name))
 
 
 @behave.given("the order holders {names}")
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what servers are ordered to load; time is simulated."""
+"""Steps for the planning of orders to load weights; time is simulated."""
 
 import collections
 import unittest.mock
--- a/features/steps/organisations_steps.py
+++ b/features/steps/organisations_steps.py
@@ -1,4 +1,4 @@
-"""Steps for organisations and the keys of their clients."""
+"""Steps for organisations and the identification of callers by key."""
 
 import types
 import unittest.mock
@@ -93,7 +93,7 @@
 
 
 class _CountedKey(str):
-    """A key that counts how often it is compared."""
+    """A key that counts how often it is compared to another."""
 
     __slots__ = ("compared",)
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -72,7 +72,7 @@
 class NoCaller:
     """Reaches nobody."""
 
-    def forget(self, address):
+    def close_idle(self, address):
         pass
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that are kept from servers because servers ended under them."""
+"""Steps for the quarantine of requests that were running when servers crashed."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 
 
 class RecordingPublisher(crash_guard.CrashPublisher):
-    """Keeps what was published."""
+    """Records the crashes that were published."""
 
     def __init__(self):
         self.crashes = []
@@ -36,7 +36,7 @@
         self.crashes.append(crash)
 
     def withdraw(self, keys):
-        """Keep nothing of it."""
+        """Ignore withdrawals."""
 
 
 @behave.given("the crashes {listed} of a request")
@@ -116,7 +116,7 @@
 
 
 def _update_list(known, server, behaviour):
-    """Let the list say what it said of a server that ended as planned."""
+    """Update the server list as it is when a server ends as planned."""
     if behaviour == "ends-leaving":
         known.update_server(dataclasses.replace(server, is_leaving=True))
     elif behaviour == "ends-unlisted":
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for crashes that the entries share through the log."""
+"""Steps for crash records that entries share through the log."""
 
 import threading
 
@@ -19,7 +19,7 @@
 
 
 class Entry:
-    """What an entry has for crashes, on its own client of the log."""
+    """The parts of an entry that handle crashes, with a log client of its own."""
 
     def __init__(self, context, shared, name):
         self.log = shared.create_client()
--- a/features/steps/usage_front_steps.py
+++ b/features/steps/usage_front_steps.py
@@ -1,4 +1,4 @@
-"""Steps for reports of use by the front program."""
+"""Steps for usage reports of the front program."""
 
 import behave
 
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -1,4 +1,4 @@
-"""Steps for reports of use; time is simulated but for the program's own scenario."""
+"""Steps for usage reports; time is simulated."""
 
 import collections
 import contextlib
@@ -26,11 +26,11 @@
 
 
 class Killed(BaseException):
-    """The process ends at this place."""
+    """Ends a simulated process at the point where it is raised."""
 
 
 class RecordingPlatform(platform.DutyPlatform):
-    """The platform as one process reaches it."""
+    """One process's access to the platform, which may fail or stall as the test says."""
 
     def __init__(self, site, name):
         self._site = site
@@ -54,7 +54,7 @@
 
 
 class Process:
-    """One run of a process that counts and reports."""
+    """One incarnation of a process that counts and reports usage."""
 
     def __init__(self, site, name):
         self._site = site
@@ -85,7 +85,7 @@
 
 
 class ReportingSite:
-    """Several processes on one simulated clock, with all that the platform was told."""
+    """Several processes on one simulated clock, and all reports that the platform accepted."""
 
     def __init__(self, names):
         self.now = _START_SECONDS
@@ -109,7 +109,7 @@
             yield
 
     def find_owner(self):
-        """Return to whom the duty falls: who was chosen, or the first that reaches the log."""
+        """Return the process that owns the duty: the chosen one, or the first with a log."""
         if self.owner:
             return self.owner
         reachable = [
@@ -122,7 +122,7 @@
         return min(reachable, default=None)
 
     def record_report(self, name, report, holder):
-        self.reports.append((self.now, name, report, holder.fencing_token))
+        self.reports.append((self.now, name, report, holder.fencing))
 
     def run_word(self, word):
         if word.endswith("s") and word[0].isdigit():
@@ -177,7 +177,7 @@
                 counter.undo(counted.pop())
 
     def _arrive(self, name):
-        """Let calls arrive that were held up on their way."""
+        """Let delayed calls arrive, and check that they repeat reports already accepted."""
         self.stalling.discard(name)
         for sender, report, holder in self.stalled:
             counts = next(r.counts for _, _, r, _ in self.reports if r.window == report.window)
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -141,7 +141,7 @@
     """Whether running requests go on with the new weights; if False, they end before the load."""
     holder: str
     """The name of the process that holds the right to order this server."""
-    fencing_token: int
+    fencing: int
     """Of the holder's lease; a server rejects orders with a token lower than one it has seen."""
     accepted_orders: int
     """The order takes effect only if the server has accepted exactly this many before it."""
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -22,7 +22,7 @@
     """The identification of a duty's holder in calls to the platform."""
 
     name: str
-    fencing_token: int
+    fencing: int
     """Increases whenever the holder changes, so that calls of an earlier one are rejected."""
 
 
--- a/libs/leases/oleander_leases/lease.py
+++ b/libs/leases/oleander_leases/lease.py
@@ -32,7 +32,7 @@
 class Tenure:
     """The permission to act as the holder until a deadline."""
 
-    fencing_token: int
+    fencing: int
     """The offset of the record that started the tenure; later holders have higher ones."""
     deadline: clock.Deadline
 
@@ -44,7 +44,7 @@
     holder: str
     host: str
     state: str
-    fencing_token: int
+    fencing: int
     read_at: float
 
 
@@ -138,7 +138,7 @@
         with self._lock:
             tenure, self._tenure = self._tenure, None
         if tenure is not None and not tenure.deadline.is_past:
-            self._append(_RELEASED, tenure.fencing_token)
+            self._append(_RELEASED, tenure.fencing)
 
     def _is_free(self) -> bool:
         newest = self._newest_record
@@ -170,23 +170,23 @@
         if tenure is None:
             return
         started_at = clock.read_now()
-        if self._append(_HELD, tenure.fencing_token) is None:
+        if self._append(_HELD, tenure.fencing) is None:
             return
         with self._lock:
             if self._tenure is not None:
                 deadline = clock.Deadline(started_at + TERM_SECONDS)
-                self._tenure = Tenure(tenure.fencing_token, deadline)
+                self._tenure = Tenure(tenure.fencing, deadline)
 
-    def _append(self, state: str, fencing_token: int) -> int | None:
+    def _append(self, state: str, fencing: int) -> int | None:
         """Append at the end of the partition as read; return the offset, None if unconfirmed."""
-        content = cbor2.dumps([self._name, self._host, state, fencing_token])
+        content = cbor2.dumps([self._name, self._host, state, fencing])
         deadline = clock.start_deadline(_APPEND_SECONDS)
         offset = self._next_offset
         appended = self._log.append_at(self._topic, self._partition, [content], offset, deadline)
         if appended.is_ok():
             self._next_offset = offset + 1
             self._newest_record = _LeaseRecord(
-                self._name, self._host, state, fencing_token, clock.read_now()
+                self._name, self._host, state, fencing, clock.read_now()
             )
             return offset
         log.warn_bounded("lease-unconfirmed", str(appended.error), topic=self._topic, state=state)
@@ -209,9 +209,9 @@
     def _apply(self, record: recordlog.RawRecord) -> None:
         """Apply a record; one that can't be decoded counts as held, to be on the safe side."""
         try:
-            holder, host, state, fencing_token = cbor2.loads(record.content)
+            holder, host, state, fencing = cbor2.loads(record.content)
         except (cbor2.CBORDecodeError, ValueError, TypeError):
-            holder, host, state, fencing_token = "", "", _HELD, record.offset
+            holder, host, state, fencing = "", "", _HELD, record.offset
         self._newest_record = _LeaseRecord(
             str(holder), str(host), str(state), record.offset, clock.read_now()
         )
@@ -225,5 +225,5 @@
                 topic=self._topic,
                 holder=holder,
                 partition=self._partition,
-                fencing=fencing_token,
+                fencing=fencing,
             ).warning("taken")
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -195,7 +195,7 @@
         tenure = self._find_tenure()
         if tenure is None:
             return False
-        holder = platform.DutyHolder(self._settings.holder, tenure.fencing_token)
+        holder = platform.DutyHolder(self._settings.holder, tenure.fencing)
         deadline = tenure.deadline.earlier(_CALL_SECONDS)
         outcome = self._platform.report_usage(report, holder, deadline)
         log.logger.bind(
@@ -203,7 +203,7 @@
             window=report.window,
             organisations=len(report.counts),
             requests=sum(report.counts.values()),
-            fencing=tenure.fencing_token,
+            fencing=tenure.fencing,
             tenure_left_ms=tenure.deadline.remaining_ms,
         ).info(str(outcome))
         metrics.count(metrics.USAGE_REPORTS)
--- a/programs/oleanderdeal/oleanderdeal/version_keeper.py
+++ b/programs/oleanderdeal/oleanderdeal/version_keeper.py
@@ -167,7 +167,7 @@
             version=order.version,
             keeps_requests_running=keeps_requests_running,
             holder=held.name,
-            fencing_token=tenure.fencing_token,
+            fencing=tenure.fencing,
             accepted_orders=accepted,
         )
         deadline = tenure.deadline.earlier(_ORDER_SECONDS)
@@ -183,7 +183,7 @@
             server=order.server.incarnation,
             model=order.model,
             version=order.version,
-            fencing=tenure.fencing_token,
+            fencing=tenure.fencing,
             tenure_left_ms=tenure.deadline.remaining_ms,
             expected=accepted,
         ).info(str(outcome))
