--- a/libs/direct/oleander_direct/call_progress.py
+++ b/libs/direct/oleander_direct/call_progress.py
@@ -6,7 +6,7 @@
 from oleander_direct import attempts, call_outcomes, retry_advice, routes, servers
 
 _MIN_ATTEMPT_SECONDS = 0.02
-"""With less time left no attempt is sent: no server could answer within it."""
+"""With less time left no attempt is sent: no server could answer in time, so its work is lost."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/libs/direct/oleander_direct/directory.py
+++ b/libs/direct/oleander_direct/directory.py
@@ -130,7 +130,9 @@
             ).info("in rotation")
             self._notify_replaced(known, server)
         if known is not None and known.is_leaving != server.is_leaving:
-            log.logger.bind(event="server-leaving", server=server.incarnation).info("no new work")
+            log.logger.bind(event="server-leaving", server=server.incarnation).info(
+                "leaving; accepts no new requests"
+            )
         self._router.update(server.server_id, _build_peer_report(server))
 
     def remove_server(self, server_id: str) -> None:
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -142,7 +142,7 @@
     holder: str
     """The name of the process that holds the right to order this server."""
     fencing: int
-    """Of the holder's lease; a server rejects orders with a token lower than one it has seen."""
+    """The fencing token of the holder's lease, which is higher for each later holder."""
     accepted_orders: int
     """The order takes effect only if the server has accepted exactly this many before it."""
 
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -23,7 +23,7 @@
 
     name: str
     fencing: int
-    """Increases whenever the holder changes, so that calls of an earlier one are rejected."""
+    """The fencing token of the holder's lease, which is higher for each later holder."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/libs/orders/oleander_orders/order_leases.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -58,7 +58,9 @@
         """Start to claim the leases for servers in the partitions assigned to this process."""
         wanted = frozenset(self.find_partition(item) for item in server_ids) & assigned_partitions
         if wanted != self._wanted_partitions:
-            log.logger.bind(event="orders-wanted", partitions=sorted(wanted)).info("to claim")
+            log.logger.bind(event="orders-wanted", partitions=sorted(wanted)).info(
+                "leases to claim"
+            )
         self._wanted_partitions = wanted
         for partition in wanted:
             self._start_holding(partition)
