--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -107,7 +107,7 @@
     def start(self) -> None:
         """Start the two tasks that follow the stream and append to it."""
         self._group.keep(self._follow_stream)
-        self._group.keep(self._append_groups)
+        self._group.keep(self._append_waiting_claims)
 
     def find(self, customer: str, key: str) -> records.LoggedClaim | None:
         """Return the claim in force for a key, as far as the stream was read, or None."""
@@ -147,7 +147,7 @@
                 return expression.Error(ClaimError("log-slow", 1000))
             return proposal.decision.result()
 
-    def _append_groups(self) -> None:
+    def _append_waiting_claims(self) -> None:
         while not self._group.is_stopping:
             group = self._collect_group()
             if group:
--- a/libs/direct/oleander_direct/calls.py
+++ b/libs/direct/oleander_direct/calls.py
@@ -95,17 +95,17 @@
         route: routes.Route,
         request: servers.CallRequest,
         deadline: clock.Deadline,
-        is_gone: collections.abc.Callable[[], bool],
+        is_caller_gone: collections.abc.Callable[[], bool],
         is_windowed: bool = False,
     ) -> call_outcomes.CallOutcome:
         """Return the outcome of a request, at the latest a little before its deadline."""
         organisation = request.organisation
         if self._limiter is None or not organisation:
-            return self._call(route, request, deadline, is_gone, is_windowed)
+            return self._call(route, request, deadline, is_caller_gone, is_windowed)
         if not self._limiter.try_acquire(organisation):
             return self._refuse_over_share(route, request)
         try:
-            return self._call(route, request, deadline, is_gone, is_windowed)
+            return self._call(route, request, deadline, is_caller_gone, is_windowed)
         finally:
             self._limiter.release(organisation)
 
@@ -133,7 +133,7 @@
         route: routes.Route,
         request: servers.CallRequest,
         deadline: clock.Deadline,
-        is_gone: collections.abc.Callable[[], bool],
+        is_caller_gone: collections.abc.Callable[[], bool],
         is_windowed: bool,
     ) -> call_outcomes.CallOutcome:
         remaining = deadline.remaining
@@ -146,7 +146,7 @@
             request, route, backend, attempt_deadline, is_windowed
         )
         self._hedges.note_fresh()
-        outcome = self._run(progress, is_gone)
+        outcome = self._run(progress, is_caller_gone)
         if isinstance(outcome, call_outcomes.Answered):
             self._retry_advisor.record_answered()
         self._record_outcome(progress, outcome, remaining - deadline.remaining)
@@ -183,13 +183,15 @@
         ).info(type(outcome).__name__.lower())
 
     def _run(
-        self, progress: call_progress.CallProgress, is_gone: collections.abc.Callable[[], bool]
+        self,
+        progress: call_progress.CallProgress,
+        is_caller_gone: collections.abc.Callable[[], bool],
     ) -> call_outcomes.CallOutcome:
         running: dict[concurrent.futures.Future[attempts.AttemptResult], str] = {}
         hedge_at = clock.read_now() + progress.route.target_latency_ms * _HEDGE_FRACTION / 1000
         try:
             while True:
-                if not running and not self._start(progress, running):
+                if not running and not self._start_attempt(progress, running):
                     return progress.conclude(self._retry_advisor)
                 pause = min(_POLL_SECONDS, progress.deadline.remaining)
                 done, _ = concurrent.futures.wait(
@@ -200,7 +202,7 @@
                     outcome = progress.record_attempt(future.result(), server_id)
                     if outcome is not None:
                         return outcome
-                if is_gone():
+                if is_caller_gone():
                     progress.may_have_run = True
                     progress.reason = "caller-gone"
                     return progress.conclude(self._retry_advisor)
@@ -227,9 +229,9 @@
             return
         if not progress.was_suspect and self._hedges.try_take():
             metrics.count(metrics.HEDGES)
-            self._start(progress, running)
+            self._start_attempt(progress, running)
 
-    def _start(
+    def _start_attempt(
         self,
         progress: call_progress.CallProgress,
         running: dict[concurrent.futures.Future[attempts.AttemptResult], str],
@@ -242,7 +244,7 @@
             progress.reason = call_outcomes.QUARANTINED
             metrics.count(metrics.QUARANTINED)
             return False
-        chosen = self._choose(progress)
+        chosen = self._choose_server(progress)
         if chosen is None:
             return False
         progress.excluded.add(chosen.server_id)
@@ -250,10 +252,10 @@
         self._router.note_started(chosen.server_id, progress.is_windowed)
         if progress.sent_count > 1:
             metrics.count(metrics.RETRIES)
-        running[self._submit(progress, chosen)] = chosen.server_id
+        running[self._submit_attempt(progress, chosen)] = chosen.server_id
         return True
 
-    def _submit(
+    def _submit_attempt(
         self, progress: call_progress.CallProgress, server: servers.Server
     ) -> concurrent.futures.Future[attempts.AttemptResult]:
         return self._pool.submit(
@@ -269,7 +271,7 @@
             return None
         return self._guard.find_quarantine(progress.request, progress.is_windowed)
 
-    def _choose(self, progress: call_progress.CallProgress) -> servers.Server | None:
+    def _choose_server(self, progress: call_progress.CallProgress) -> servers.Server | None:
         """Return the next server, if possible one that is not running another suspect request."""
         if self._guard is not None and self._guard.is_suspect(progress.request):
             progress.was_suspect = True
@@ -281,7 +283,7 @@
     def _choose_excluding(
         self, progress: call_progress.CallProgress, avoided: frozenset[str]
     ) -> servers.Server | None:
-        wanted = router.RouteRequest(
+        route_request = router.RouteRequest(
             backend=progress.backend,
             affinity="",
             priority=progress.priority,
@@ -291,7 +293,7 @@
             may_probe=progress.request.may_repeat,
             is_windowed=progress.is_windowed,
         )
-        chosen = self._router.choose(wanted)
+        chosen = self._router.choose(route_request)
         if chosen.is_error():
             progress.reason = chosen.error.reason
             return None
--- a/libs/leases/oleander_leases/lease.py
+++ b/libs/leases/oleander_leases/lease.py
@@ -138,7 +138,7 @@
         with self._lock:
             tenure, self._tenure = self._tenure, None
         if tenure is not None and not tenure.deadline.is_past:
-            self._append(_RELEASED, tenure.fencing)
+            self._append_record(_RELEASED, tenure.fencing)
 
     def _is_free(self) -> bool:
         newest = self._newest_record
@@ -151,7 +151,7 @@
 
     def _claim(self) -> None:
         started_at = clock.read_now()
-        offset = self._append(_HELD, self._next_offset)
+        offset = self._append_record(_HELD, self._next_offset)
         if offset is None:
             return
         deadline = clock.Deadline(started_at + TERM_SECONDS)
@@ -170,14 +170,14 @@
         if tenure is None:
             return
         started_at = clock.read_now()
-        if self._append(_HELD, tenure.fencing) is None:
+        if self._append_record(_HELD, tenure.fencing) is None:
             return
         with self._lock:
             if self._tenure is not None:
                 deadline = clock.Deadline(started_at + TERM_SECONDS)
                 self._tenure = Tenure(tenure.fencing, deadline)
 
-    def _append(self, state: str, fencing: int) -> int | None:
+    def _append_record(self, state: str, fencing: int) -> int | None:
         """Append at the end of the partition as read; return the offset, None if unconfirmed."""
         content = cbor2.dumps([self._name, self._host, state, fencing])
         deadline = clock.start_deadline(_APPEND_SECONDS)
