--- a/features/keeper_fakes.py
+++ b/features/keeper_fakes.py
@@ -1,4 +1,4 @@
-"""A version keeper of a test, whose rights and batches are faked."""
+"""A version keeper for tests, with fake leases and without batches."""
 
 import types
 
@@ -13,8 +13,8 @@
 _TENURE_SECONDS = 5.0
 
 
-class SharedCrashes(crash_guard.CrashPublisher):
-    """Passes crashes on to the ledgers of all processes at once."""
+class SharedLedgers(crash_guard.CrashPublisher):
+    """Publishes crashes to the ledgers of all processes at once."""
 
     def __init__(self):
         self.ledgers = []
@@ -30,7 +30,7 @@
 
 
 def create_keeper(known, owned_ids, caller, shared):
-    """Return a keeper that has the right to order some servers and knows of no batches."""
+    """Return a keeper that holds the leases of some servers and has no batches."""
     crashes = ledger.CrashLedger(_SEED, lambda: clock.read_now())
     shared.ledgers.append(crashes)
     loads = load_guard.LoadGuard(known, crashes, shared, lambda: clock.read_now())
@@ -51,10 +51,10 @@
     return types.SimpleNamespace(name=server_id, find_tenure=lambda: tenure)
 
 
-def any_server(server):
+def allow_any_server(server):
     """Allow orders to a server."""
     return True
 
 
-def any_number(listed, model, version):
-    """Limit nothing."""
+def find_no_limit(listed, model, version):
+    """Return no limit on the servers that may load a version."""
--- a/features/server_fakes.py
+++ b/features/server_fakes.py
@@ -1,4 +1,4 @@
-"""Backend servers of a test, which says what those do that it uses."""
+"""Fake callers of backend servers, whose behaviour each test chooses."""
 
 import threading
 import time
@@ -12,8 +12,8 @@
 _KINDS = {"idempotent": routes.RouteKind.IDEMPOTENT, "once": routes.RouteKind.ONCE}
 
 
-class UnusedCaller(servers.ServerCaller):
-    """Reaches no server: a call that a test does not expect fails it."""
+class FailingCaller(servers.ServerCaller):
+    """Fails the test on every call; a subclass overrides the calls that its test expects."""
 
     def call(self, server, request, deadline, is_cancelled):
         raise AssertionError
@@ -28,16 +28,16 @@
         raise AssertionError
 
     def close_idle(self, address):
-        """Keep nothing that could be forgotten."""
+        """Do nothing, since there are no connections."""
 
 
-class FakeCaller(UnusedCaller):
-    """Answers as each server was told to."""
+class FakeCaller(FailingCaller):
+    """Answers calls by the behaviour stated for each server, and records which ones ran."""
 
     def __init__(self, behaviours):
         self.behaviours = behaviours
         self.ran = []
-        self.on_begin = lambda: None
+        self.on_start = lambda: None
         self.on_end = lambda server, behaviour: None
         self.cancelled = threading.Event()
 
@@ -48,7 +48,7 @@
         if behaviour in {"full", "other"}:
             return expression.Ok(_answer(503, behaviour == "full", behaviour == "other"))
         self.ran.append(server.server_id)
-        self.on_begin()
+        self.on_start()
         if behaviour == "lost":
             return expression.Error(servers.CallFailure("reset", True))
         if behaviour.startswith("ends"):
@@ -75,7 +75,7 @@
 
 
 def build_route(kind, max_servers):
-    """Return a route of a kind whose requests may go to so many servers."""
+    """Return a route of a kind whose requests may each be sent to `max_servers` servers."""
     share = (routes.Share("desk", 1),)
     kind = _KINDS[kind]
     return routes.Route("r", "h", "/", kind, 5000, 150, 0, share, max_servers, False, False, 0, 0)
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -27,7 +27,7 @@
     refusals: list = dataclasses.field(default_factory=list)
 
 
-class SlotCaller(server_fakes.UnusedCaller):
+class SlotCaller(server_fakes.FailingCaller):
     """Servers with slots; a request that finds no free slot is refused without being run."""
 
     def __init__(self, slots, time):
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -22,8 +22,8 @@
     """The identification of a duty's holder in calls to the platform."""
 
     name: str
-    fencing_token: int
-    """Increases whenever the holder changes, so that calls of an earlier one are rejected."""
+    fencing: int
+    """The fencing token of the holder's lease, which is higher for each later holder."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
