--- a/features/deployments.py
+++ b/features/deployments.py
@@ -255,8 +255,8 @@
         return self._calls[name].result()
 
     def _is_ready(self, entry, offset):
-        known = self.read_configuration(entry)
-        if known["applied_offset"] < offset or known["peers"] < len(self.hosts):
+        report = self.read_configuration(entry)
+        if report["applied_offset"] < offset or report["peers"] < len(self.hosts):
             return False
         return support.call("GET", f"{self.cluster.url(entry)}/readyz").status == 200
 
--- a/features/leaving.py
+++ b/features/leaving.py
@@ -72,12 +72,13 @@
     def make_calls(self, count, operations=("charge", "look-up")):
         """Make `count` calls through all entries in turn, and check that all are done."""
         entries = itertools.cycle(self._deployed.entries)
-        chosen = itertools.cycle(operations)
+        next_operations = itertools.cycle(operations)
         with concurrent.futures.ThreadPoolExecutor(_MAX_THREADS) as pool:
-            asked = [
-                pool.submit(self._make_call, next(entries), next(chosen)) for _ in range(count)
+            calls = [
+                pool.submit(self._make_call, next(entries), next(next_operations))
+                for _ in range(count)
             ]
-            outcomes = [item.result() for item in asked]
+            outcomes = [item.result() for item in calls]
         assert set(outcomes) == {"done"}, outcomes
 
     def send_late_request(self, name):
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -171,11 +171,11 @@
     context.published = context.parts.start_publish(by, context.number, wait_ms)
 
 
-def _end_publish(context, child, status, told):
+def _end_publish(context, child, status, expected_text):
     output = child.stdout.read()
     code = child.wait(_COMMAND_SECONDS)
     child.stdout.close()
-    assert (code, told in output) == (status, True), (code, output)
+    assert (code, expected_text in output) == (status, True), (code, output)
 
 
 def _record_accepted_offset(context, number):
@@ -199,9 +199,9 @@
 
 @behave.when("ann publishes in the configuration matrix, within {wait_ms:d} ms, and ends {ending}")
 def publish(context, wait_ms, ending):
-    status, told = ending.split(" ", 1)
+    status, expected_text = ending.split(" ", 1)
     _start_publish(context, "ann", wait_ms)
-    _end_publish(context, context.published, int(status), told)
+    _end_publish(context, context.published, int(status), expected_text)
 
 
 @behave.when("ann publishes the same again in the configuration matrix and it is accepted once")
@@ -219,7 +219,7 @@
     _start_publish(context, "ann")
     support.wait_until(
         lambda: context.parts.cluster.read_control("log")["settings"]["lose_before"] < 10_000,
-        "ann has read what is in force and tried to append",
+        "ann has read the current contract and tried to append",
     )
     context.published.send_signal(configuration_deployment.PAUSE)
     context.parts.cluster.control("log", lose_before=0)
@@ -236,9 +236,9 @@
 
 @behave.then("ann goes on in the configuration matrix and ends {ending}")
 def resume_publish(context, ending):
-    status, told = ending.split(" ", 1)
+    status, expected_text = ending.split(" ", 1)
     context.published.send_signal(configuration_deployment.RESUME)
-    _end_publish(context, context.published, int(status), told)
+    _end_publish(context, context.published, int(status), expected_text)
 
 
 @behave.then("ann's late change is void in the configuration matrix")
@@ -321,11 +321,11 @@
 
 @behave.then("show in the configuration matrix ends {ending}")
 def show(context, ending):
-    status, told = ending.split(" ", 1)
+    status, expected_text = ending.split(" ", 1)
     parts = context.parts
     flags = ["--log_url", parts.cluster.url("log"), "--customer", "matrix"]
     ended = parts.deployed.run_command("show", *flags)
-    assert (ended.returncode, told in ended.stdout) == (int(status), True), ended.stdout
+    assert (ended.returncode, expected_text in ended.stdout) == (int(status), True), ended.stdout
 
 
 @behave.then("show in the configuration matrix prints the newest change")
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -152,6 +152,10 @@
     reader = context.stream.readers[0]
     reader.await_end()
     assert reader.last_line is None, reader.last_line
-    whole = stream_reader.tokens.make_text(reader.prompt, 0, _TOKENS)
-    came = stream_reader.tokens.remove_marks(reader.text)
-    assert came and whole.startswith(came) and came != whole, reader.text
+    complete_text = stream_reader.tokens.make_text(reader.prompt, 0, _TOKENS)
+    received_text = stream_reader.tokens.remove_marks(reader.text)
+    assert (
+        received_text
+        and complete_text.startswith(received_text)
+        and received_text != complete_text
+    ), reader.text
--- a/features/steps/weight_doubts_steps.py
+++ b/features/steps/weight_doubts_steps.py
@@ -105,7 +105,7 @@
             item["outcome"] == "finished"
             for item in weight_changes.read_generations(context.deployment)
         ),
-        "a generation is whole",
+        "a generation has finished",
     )
 
 
--- a/features/stops.py
+++ b/features/stops.py
@@ -68,8 +68,8 @@
     def _find_busy_host(self):
         for host in HOSTS:
             if host.kind == "engine":
-                counted = self._cluster.read_control(host.server_name)
-                for item in counted["generations"].values():
+                counts = self._cluster.read_control(host.server_name)
+                for item in counts["generations"].values():
                     if item["outcome"] == "running" and item["tokens"]:
                         return host.name
         return ""
--- a/features/weight_changes.py
+++ b/features/weight_changes.py
@@ -109,7 +109,7 @@
 def check_fencing(deployed):
     """Check that engines which check fencing numbers accepted only increasing ones."""
     for host in deployed.hosts.values():
-        counted = deployed.cluster.read_control(host.server_name, "generations=no")
-        accepted = [item["fencing"] for item in counted["loads"] if item["status"] != 409]
+        counts = deployed.cluster.read_control(host.server_name, "generations=no")
+        accepted = [item["fencing"] for item in counts["loads"] if item["status"] != 409]
         if host.checks_fencing:
-            assert accepted == sorted(accepted), f"{host.name}: {counted['loads']}"
+            assert accepted == sorted(accepted), f"{host.name}: {counts['loads']}"
--- a/programs/oleanderdeal/oleanderdeal/connect.py
+++ b/programs/oleanderdeal/oleanderdeal/connect.py
@@ -6,15 +6,15 @@
 from oleanderdeal import settings
 
 
-def open_log(chosen: settings.Settings) -> logservice.LogService:
+def open_log(process_settings: settings.Settings) -> logservice.LogService:
     """Create the client of the platform's log."""
     adapter = importlib.import_module("oleander_platform.http_logservice")
-    log: logservice.LogService = adapter.HttpLogService(chosen.log_url)
+    log: logservice.LogService = adapter.HttpLogService(process_settings.log_url)
     return log
 
 
-def open_host_list(chosen: settings.Settings) -> hostlist.HostList:
+def open_host_list(process_settings: settings.Settings) -> hostlist.HostList:
     """Create the client of the platform's host list."""
     adapter = importlib.import_module("oleander_platform.http_hostlist")
-    hosts: hostlist.HostList = adapter.HttpHostList(chosen.hosts_url)
+    hosts: hostlist.HostList = adapter.HttpHostList(process_settings.hosts_url)
     return hosts
--- a/programs/oleanderdeal/oleanderdeal/entry.py
+++ b/programs/oleanderdeal/oleanderdeal/entry.py
@@ -43,52 +43,56 @@
 class Entry:
     """Wires up and runs the components of one entry process."""
 
-    def __init__(self, chosen: settings.Settings) -> None:
-        self._settings = chosen
+    def __init__(self, entry_settings: settings.Settings) -> None:
+        self._settings = entry_settings
         self._leaving = threading.Event()
-        shard_tasks = chosen.claim_shards * book.TASKS_PER_SHARD
+        shard_tasks = entry_settings.claim_shards * book.TASKS_PER_SHARD
         most_tasks = (
-            chosen.peer_limit + _MAX_EXTRA_LINKS + shard_tasks + chosen.sample_tasks + _OTHER_TASKS
+            entry_settings.peer_limit
+            + _MAX_EXTRA_LINKS
+            + shard_tasks
+            + entry_settings.sample_tasks
+            + _OTHER_TASKS
         )
         self._group = tasks.TaskGroup("entry", most_tasks)
-        log_service = http_logservice.HttpLogService(chosen.log_url)
+        log_service = http_logservice.HttpLogService(entry_settings.log_url)
         self._configuration = fold.ConfigurationFold()
         self._follower = configuration.ConfigurationFollower(
-            log_service, self._configuration, self._group, chosen.configuration_poll_ms
+            log_service, self._configuration, self._group, entry_settings.configuration_poll_ms
         )
         self._synchronizer = configuration_sync.ConfigurationSynchronizer(self._follower)
-        self._router = router.Router(identifiers.hash_text(chosen.name), clock.read_now)
+        self._router = router.Router(identifiers.hash_text(entry_settings.name), clock.read_now)
         self._links = peers.PeerLinks(self._create_link, self._group, _MAX_EXTRA_LINKS)
         self._claim_book = book.ClaimBook(
-            log_service, self._group, chosen.claim_shards, chosen.claim_window
+            log_service, self._group, entry_settings.claim_shards, entry_settings.claim_window
         )
         self._steps = registry.StepRegistry()
         dispatcher = dispatch.Dispatcher(
             self._router, self._links, retries.RetryBudgets(_MAX_SAVED_RETRIES)
         )
         self._sampling = sampling.SamplingPool(
-            self._steps, dispatcher, self._configuration, self._group, chosen.sample_tasks
+            self._steps, dispatcher, self._configuration, self._group, entry_settings.sample_tasks
         )
         self._host_follower = hosts.HostFollower(
-            chosen.name,
-            http_hostlist.HttpHostList(chosen.hosts_url),
+            entry_settings.name,
+            http_hostlist.HttpHostList(entry_settings.hosts_url),
             self._links,
             self._router,
-            chosen.peer_limit,
+            entry_settings.peer_limit,
             self._group,
         )
         versions = version_publisher.VersionPublisher(
             log_service, self._configuration, self._group
         )
         self._trainer_incarnations = trainer_incarnations.TrainerIncarnations(
-            log_service, self._configuration, self._steps, self._group, chosen.name
+            log_service, self._configuration, self._steps, self._group, entry_settings.name
         )
         self._snapshot_writer = snapshots.SnapshotWriter(
-            log_service, self._configuration, self._group, chosen.snapshot_interval_ms
+            log_service, self._configuration, self._group, entry_settings.snapshot_interval_ms
         )
-        threads = gates.ThreadGates(chosen.http_threads)
+        threads = gates.ThreadGates(entry_settings.http_threads)
         handler = entry_handler.EntryHandler(
-            tokens=access.AccessTable(chosen.customer_tokens),
+            tokens=access.AccessTable(entry_settings.customer_tokens),
             callers=caller_api.CallerApi(
                 self._configuration,
                 dispatcher,
@@ -109,7 +113,10 @@
             is_ready=self._is_ready,
         )
         self._server = http_server.HttpServer(
-            handler, chosen.listen_host, chosen.listen_port, chosen.http_threads
+            handler,
+            entry_settings.listen_host,
+            entry_settings.listen_port,
+            entry_settings.http_threads,
         )
 
     def run(self, stop: lifecycle.StopSignal) -> None:
@@ -187,8 +194,8 @@
         self._group.join(clock.start_deadline(_STOP_TIMEOUT_SECONDS))
 
 
-def run_entry(chosen: settings.Settings) -> int:
+def run_entry(entry_settings: settings.Settings) -> int:
     """Run an entry until SIGTERM or SIGINT; return the exit code."""
     stop = lifecycle.StopSignal()
-    Entry(chosen).run(stop)
+    Entry(entry_settings).run(stop)
     return 0
--- a/programs/oleanderdeal/oleanderdeal/hosts.py
+++ b/programs/oleanderdeal/oleanderdeal/hosts.py
@@ -40,16 +40,16 @@
             self._group.pause(_POLL_SECONDS)
 
     def _read_list(self) -> None:
-        read = self._host_list.read(clock.start_deadline(_READ_TIMEOUT_SECONDS))
-        if read.is_error():
-            log.warn_bounded("hosts-unread", f"keeping the last host list: {read.error.detail}")
+        result = self._host_list.read(clock.start_deadline(_READ_TIMEOUT_SECONDS))
+        if result.is_error():
+            log.warn_bounded("hosts-unread", f"keeping the last host list: {result.error.detail}")
             return
-        if not read.ok and self._links.list_links():
+        if not result.ok and self._links.list_links():
             log.warn_bounded("hosts-empty", "keeping the last host list: the new one is empty")
             return
-        chosen = self._choose_subset(read.ok)
-        self._links.set_hosts(chosen, covers_all=len(chosen) == len(read.ok))
-        leaving = (host for host in read.ok if host.state is hostlist.HostState.LEAVING)
+        linked_hosts = self._choose_subset(result.ok)
+        self._links.set_hosts(linked_hosts, covers_all=len(linked_hosts) == len(result.ok))
+        leaving = (host for host in result.ok if host.state is hostlist.HostState.LEAVING)
         self._router.set_listed_leaving(frozenset(host.name for host in leaving))
 
     def _choose_subset(self, listed: tuple[hostlist.Host, ...]) -> list[hostlist.Host]:
@@ -57,5 +57,5 @@
         candidates = [
             subset.SubsetHost(host.name, host.failure_domain, host.backend) for host in listed
         ]
-        chosen = subset.choose_subset(self._name, candidates, self._max_peers)
-        return [by_name[name] for name in chosen]
+        subset_hosts = subset.choose_subset(self._name, candidates, self._max_peers)
+        return [by_name[name] for name in subset_hosts]
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -34,50 +34,55 @@
 class Sidecar:
     """Wires up and runs the components of one sidecar process."""
 
-    def __init__(self, chosen: settings.Settings) -> None:
-        self._settings = chosen
+    def __init__(self, sidecar_settings: settings.Settings) -> None:
+        self._settings = sidecar_settings
         self._incarnation = identifiers.create_incarnation()
         self._leaving = threading.Event()
-        self._group = tasks.TaskGroup("sidecar", chosen.slots + _OTHER_TASKS)
-        log_service = http_logservice.HttpLogService(chosen.log_url)
+        self._group = tasks.TaskGroup("sidecar", sidecar_settings.slots + _OTHER_TASKS)
+        log_service = http_logservice.HttpLogService(sidecar_settings.log_url)
         self._configuration = fold.ConfigurationFold()
         self._follower = configuration.ConfigurationFollower(
             log_service,
             self._configuration,
             self._group,
-            chosen.configuration_poll_ms,
+            sidecar_settings.configuration_poll_ms,
             is_peer_fed=lambda: self._links.is_linked,
         )
-        self._order_log = order_audit.OrderAuditLog(chosen.name, log_service, self._group)
+        self._order_log = order_audit.OrderAuditLog(
+            sidecar_settings.name, log_service, self._group
+        )
         self._weight_reconciler: weights.WeightReconciler | None = None
         self._queue = admission.AdmissionQueue(
-            chosen.slots, chosen.queue_length, jitter=random.Random()
+            sidecar_settings.slots, sidecar_settings.queue_length, jitter=random.Random()
         )
         self._executor = executor.Executor(
-            self._queue, self._create_runner(), self._group, chosen.slots
+            self._queue, self._create_runner(), self._group, sidecar_settings.slots
         )
         self._key_ledger = ledger.Ledger(
             self._incarnation,
-            chosen.kept_answers * _KEYS_PER_KEPT_ANSWER,
-            chosen.kept_answer_bytes,
+            sidecar_settings.kept_answers * _KEYS_PER_KEPT_ANSWER,
+            sidecar_settings.kept_answer_bytes,
         )
         hello = messages.Hello(
             protocol=messages.PROTOCOL,
-            name=chosen.name,
+            name=sidecar_settings.name,
             incarnation=self._incarnation,
-            failure_domain=chosen.failure_domain,
-            token=chosen.process_token,
+            failure_domain=sidecar_settings.failure_domain,
+            token=sidecar_settings.process_token,
         )
         self._links = sidecar_links.SidecarLinks(
             hello,
-            chosen.heartbeat_ms,
+            sidecar_settings.heartbeat_ms,
             self._read_heartbeat,
             self._executor,
             self._key_ledger,
             configuration_sync.ConfigurationSynchronizer(self._follower),
         )
         self._server = link.LinkServer(
-            chosen.listen_host, chosen.listen_port, self._links.serve, _MAX_LINKS
+            sidecar_settings.listen_host,
+            sidecar_settings.listen_port,
+            self._links.serve,
+            _MAX_LINKS,
         )
 
     @property
@@ -114,18 +119,18 @@
         return self._group.join(clock.start_deadline(_STOP_TIMEOUT_SECONDS))
 
     def _create_runner(self) -> runners.Runner:
-        chosen = self._settings
-        if chosen.backend_kind is setting_table.BackendKind.SERVICE:
-            return runners.ServiceRunner(http_service.HttpService(chosen.backend_url))
-        backend = http_engine.HttpEngine(chosen.backend_url)
+        sidecar_settings = self._settings
+        if sidecar_settings.backend_kind is setting_table.BackendKind.SERVICE:
+            return runners.ServiceRunner(http_service.HttpService(sidecar_settings.backend_url))
+        backend = http_engine.HttpEngine(sidecar_settings.backend_url)
         self._weight_reconciler = weights.WeightReconciler(
             backend,
-            chosen.model,
+            sidecar_settings.model,
             self._configuration,
             self._group,
-            chosen.checks_fencing,
-            chosen.load_timeout_ms,
-            chosen.load_spread_ms,
+            sidecar_settings.checks_fencing,
+            sidecar_settings.load_timeout_ms,
+            sidecar_settings.load_spread_ms,
             self._order_log.report,
         )
         return runners.EngineRunner(backend, self._weight_reconciler)
@@ -167,10 +172,10 @@
         return self._is_idle
 
 
-def run_sidecar(chosen: settings.Settings) -> int:
+def run_sidecar(sidecar_settings: settings.Settings) -> int:
     """Run a sidecar until SIGTERM or SIGINT; return the exit code."""
     stop = lifecycle.StopSignal()
-    sidecar = Sidecar(chosen)
+    sidecar = Sidecar(sidecar_settings)
     code = sidecar.run(stop)
     if not sidecar.close():
         lifecycle.end_process(code)
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -56,7 +56,7 @@
             return
         with self._lock:
             self._open_links.add(opened)
-        served = _ServedLink(opened, self._executor, self._key_ledger, self._lost_answers)
+        served = _LinkRequests(opened, self._executor, self._key_ledger, self._lost_answers)
         try:
             self._receive_all(opened, served)
         finally:
@@ -107,7 +107,7 @@
             opened.send(self._hello).is_ok() and opened.send(self._read_heartbeat()).is_ok()
         )
 
-    def _receive_all(self, opened: link.Link, served: "_ServedLink") -> None:
+    def _receive_all(self, opened: link.Link, served: "_LinkRequests") -> None:
         next_heartbeat = clock.start_deadline_ms(self._heartbeat_ms)
         while not self._stopping.is_set():
             received = opened.receive(next_heartbeat)
@@ -119,7 +119,9 @@
                 opened.send(self._read_heartbeat())
                 next_heartbeat = clock.start_deadline_ms(self._heartbeat_ms)
 
-    def _handle(self, opened: link.Link, served: "_ServedLink", message: messages.Message) -> None:
+    def _handle(
+        self, opened: link.Link, served: "_LinkRequests", message: messages.Message
+    ) -> None:
         match message:
             case messages.Run():
                 served.run(message)
@@ -135,7 +137,7 @@
                 log.warn_bounded("odd-message", f"ignored a {type(message).__name__}")
 
 
-class _ServedLink:
+class _LinkRequests:
     """The requests received over one link."""
 
     def __init__(
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -74,7 +74,7 @@
                     503, "This entry is shutting down.", "not-run", "leaving", _RETRY_AFTER_MS
                 )
             )
-        terms = self._find_terms(customer, trainer)
+        terms = self._find_trainer_terms(customer, trainer)
         if terms is None:
             return _answer_not_found("no-such-trainer")
         step = readers.read_step(customer, trainer, step_text, request.body)
@@ -82,9 +82,9 @@
             return http_messages.answer_findings(step.error)
         if self._incarnations.is_superseded(customer, trainer, step.ok.incarnation):
             return _refuse_step(registry.RefusalReason.SUPERSEDED)
-        put = self._steps.put(step.ok, terms)
-        if put.is_error():
-            return _refuse_step(put.error.reason)
+        registered = self._steps.put(step.ok, terms)
+        if registered.is_error():
+            return _refuse_step(registered.error.reason)
         return http_messages.answer_json(
             {"step": step.ok.step, "collector": self._find_own_url(), "samples": step.ok.total}
         )
@@ -132,7 +132,7 @@
             self._steps.delete(customer, trainer, int(step_text))
         return http_messages.answer_json({})
 
-    def _find_terms(self, customer: str, trainer: str) -> contract.TrainerTerms | None:
+    def _find_trainer_terms(self, customer: str, trainer: str) -> contract.TrainerTerms | None:
         terms = self._configuration.find_contract(customer)
         return terms.find_trainer(trainer) if terms else None
 
--- a/programs/oleanderdeal/oleanderdeal/weights.py
+++ b/programs/oleanderdeal/oleanderdeal/weights.py
@@ -88,7 +88,7 @@
         self._lock = threading.Lock()
         self._state = WeightState(None, 0, False)
         self._changed = threading.Event()
-        self._is_stopped = False
+        self._has_stopped_ordering = False
         self._is_ordering = False
         self._failures = 0
         self._order_after = clock.start_deadline(0.0)
@@ -117,7 +117,7 @@
 
     def stop_ordering(self) -> None:
         """Send no more orders: the engine is leaving, and the weight store's reads are scarce."""
-        self._is_stopped = True
+        self._has_stopped_ordering = True
 
     def record_token_marking(self, marks_tokens: bool) -> None:
         """Record whether the engine marked its last token with a version."""
@@ -146,20 +146,20 @@
     def reconcile(self) -> float:
         """Take the next due action; return the number of seconds until the next call."""
         wanted = self._configuration.find_version(self._model)
-        if not self._confirm_by_reading():
+        if not self._read_version():
             return _RETRY_SECONDS
         confirmed = self._state.version
         is_current = confirmed is not None and wanted is not None and confirmed >= wanted.version
-        if wanted is None or is_current or self._is_stopped:
+        if wanted is None or is_current or self._has_stopped_ordering:
             self._failures = 0
             self._load_slot = None
             return _POLL_SECONDS
         due = self._find_order_time(confirmed)
         if not due.is_past:
             return min(_POLL_SECONDS, due.remaining)
-        return self._load(engine.LoadOrder(self._model, wanted.version, wanted.offset))
+        return self._send_load_order(engine.LoadOrder(self._model, wanted.version, wanted.offset))
 
-    def _confirm_by_reading(self) -> bool:
+    def _read_version(self) -> bool:
         """
         Read the engine's version; return whether a load order may be sent.
 
@@ -201,7 +201,7 @@
             self._load_slot = clock.start_deadline(random.uniform(0, self._spread_ms / 1000))
         return max(self._load_slot, self._order_after, key=lambda item: item.expires_at)
 
-    def _load(self, order: engine.LoadOrder) -> float:
+    def _send_load_order(self, order: engine.LoadOrder) -> float:
         earlier = self._state.version
         with self._lock:
             orders_sent = self._state.orders_sent + 1
