--- a/features/configuration_parts.py
+++ b/features/configuration_parts.py
@@ -69,7 +69,7 @@
         folded = fold.ConfigurationFold()
         judged = []
         for item in self.read_stream(records.STREAM):
-            folded.skip_to(item["offset"])
+            folded.record_deleted(item["offset"])
             value = item["value"] if isinstance(item["value"], dict) else {}
             judged.append((item, folded.apply(item["offset"], 0, value).ok))
         return folded, judged
--- a/features/configuration_support.py
+++ b/features/configuration_support.py
@@ -32,7 +32,7 @@
     return records.ContractRecord(terms, -1, "ann").to_value()
 
 
-def create_monster(what):
+def create_oversized(what):
     size = int("".join(letter for letter in what if letter.isdigit()))
     if "levels" in what:
         value = []
@@ -79,8 +79,8 @@
     return expression.Ok(verdict)
 
 
-def fold_versions(count, most_records):
-    configuration = fold.ConfigurationFold(most_records=most_records)
+def fold_versions(count, max_records):
+    configuration = fold.ConfigurationFold(max_records=max_records)
     for offset in range(count):
         configuration.apply(offset, 0, create_version(offset + 1))
     return configuration
@@ -108,7 +108,7 @@
 
 def follow(configuration, log, first):
     """Read the log as a process does: note what is gone, then apply what follows."""
-    configuration.skip_to(first)
+    configuration.record_deleted(first)
     for offset in range(configuration.next_offset, len(log)):
         assert configuration.next_offset == offset
         result = configuration.apply(offset, 0, log[offset])
@@ -156,7 +156,7 @@
     if step[0] == "rebase":
         configuration = fold.ConfigurationFold()
         follow(configuration, log, 0)
-        held = configuration.read_in_force(step[1])
+        held = configuration.find_in_force(step[1])
         return create_contract(step[1], -1 if held is None else held.offset, "bo")
     if step[0] == "version":
         return create_version(step[2], step[1])
@@ -187,10 +187,10 @@
         if offset < len(log):
             away.apply(offset, 0, log[offset])
         assert away.applied_offset >= seen
-    assert away.is_waiting == (not _can_go_on(log, applied + filled, first))
-    if away.is_waiting:
+    assert away.needs_snapshot == (not _can_go_on(log, applied + filled, first))
+    if away.needs_snapshot:
         away.install_snapshot(whole.create_snapshot())
-    assert not away.is_waiting
+    assert not away.needs_snapshot
     assert away.create_snapshot() == whole.create_snapshot()
 
 
--- a/features/steps/configuration_fold_steps.py
+++ b/features/steps/configuration_fold_steps.py
@@ -34,7 +34,7 @@
 
 @behave.given("a configuration of {count:d} versions")
 def create_versions(context, count):
-    context.fold = support.fold_versions(count, fold.MOST_RECENT_RECORDS)
+    context.fold = support.fold_versions(count, fold.MAX_RECENT_RECORDS)
 
 
 @behave.given("a configuration of {count:d} versions of which {kept:d} are kept")
@@ -61,13 +61,13 @@
 
 
 @behave.when("a configuration record of {what} is folded")
-def fold_monster(context, what):
+def fold_oversized(context, what):
     context.fold = fold.ConfigurationFold()
-    context.result = context.fold.apply(0, 0, support.create_monster(what))
+    context.result = context.fold.apply(0, 0, support.create_oversized(what))
 
 
 @behave.then("that configuration record is {decision} and the next one is accepted")
-def check_monster(context, decision):
+def check_oversized(context, decision):
     check_decision(context, decision, 0)
     context.result = context.fold.apply(1, 0, support.create_version(1))
     check_decision(context, "accepted", 1)
@@ -75,13 +75,13 @@
 
 @behave.when("a peer with configuration {applied:d} asks for what follows")
 def ask_for_records(context, applied):
-    context.peer = support.fold_versions(applied + 1, fold.MOST_RECENT_RECORDS)
-    context.handed = context.fold.records_after(applied)
+    context.peer = support.fold_versions(applied + 1, fold.MAX_RECENT_RECORDS)
+    context.handed = context.fold.list_after(applied)
 
 
 @behave.when("a peer with configuration {applied:d} asks for pieces of {most:d} byte")
 def ask_for_pieces(context, applied, most):
-    context.handed = context.fold.records_after(applied, most)
+    context.handed = context.fold.list_after(applied, most)
 
 
 @behave.then("the peer gets the configuration {answer}")
@@ -131,7 +131,7 @@
 @behave.then("it has applied configuration {applied:d} and waiting is {waiting}")
 def check_applied(context, applied, waiting):
     assert context.fold.applied_offset == applied, context.fold.applied_offset
-    assert context.fold.is_waiting == (waiting == "yes")
+    assert context.fold.needs_snapshot == (waiting == "yes")
 
 
 @behave.when("a configuration snapshot through {through:d} without anything is handed over")
@@ -143,7 +143,7 @@
 
 @behave.when("the configuration of a peer with {count:d} versions is handed over")
 def hand_over_old(context, count):
-    peer = support.fold_versions(count, fold.MOST_RECENT_RECORDS)
+    peer = support.fold_versions(count, fold.MAX_RECENT_RECORDS)
     verdict = context.fold.install_snapshot(peer.create_snapshot())
     context.result = support.wrap(verdict)
 
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -159,7 +159,7 @@
         assert seen == sorted(set(seen)), f"{name} answered by {seen}"
         assert not seen or seen[-1] <= parts.number, seen
     folded, _ = parts.fold_stream()
-    assert folded.read_in_force(configuration_parts.CUSTOMER).offset == parts.offset
+    assert folded.find_in_force(configuration_parts.CUSTOMER).offset == parts.offset
     _Shared.is_whole = parts is _Shared.parts
 
 
--- a/libs/contracts/oleander_contracts/fields.py
+++ b/libs/contracts/oleander_contracts/fields.py
@@ -9,7 +9,7 @@
 from oleander_contracts import names, nodes
 
 _Choice = typing.TypeVar("_Choice")
-_SHOWN_LETTERS = 40
+_MAX_SHOWN_CHARACTERS = 40
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -31,14 +31,14 @@
     def __init__(self, node: nodes.Node, found: list[findings.Finding]) -> None:
         self._node = node
         self._found = found
-        self._asked: list[str] = []
+        self._known_names: list[str] = []
         self._entries: dict[str, nodes.Entry] = {}
         entries = node.list_entries()
         self._is_mapping = entries is not None
         if entries is None:
             found.append(findings.Finding(node.place, "is no mapping of fields"))
         for entry in entries or ():
-            self._take_entry(entry)
+            self._add_entry(entry)
 
     def find_place(self, name: str) -> str:
         """Return where a field stands, for a finding about its value."""
@@ -48,81 +48,83 @@
 
     def read_integer(self, name: str, bounds: Bounds, default: int | None = None) -> int:
         """Return a whole number within bounds."""
-        node = self._find(name, default is None)
+        node = self._find_node(name, default is None)
         if node is None:
             return default or 0
         value = node.read_scalar()
         # A bool is an int to Python, and no number to a reader.
         if not isinstance(value, int) or isinstance(value, bool):
-            self._reject(node, f"is no whole number: {_show(value)}")
+            self._add_finding(node, f"is no whole number: {_format_value(value)}")
             return 0
         if not bounds.low <= value <= bounds.high:
-            self._reject(node, f"{value} is outside {bounds.low} to {bounds.high}")
+            self._add_finding(node, f"{value} is outside {bounds.low} to {bounds.high}")
         return value
 
-    def read_boolean(self, name: str, advice: str = "", default: bool | None = None) -> bool:
+    def read_boolean(self, name: str, fix: str = "", default: bool | None = None) -> bool:
         """Return true or false."""
-        node = self._find(name, default is None, advice)
+        node = self._find_node(name, default is None, fix)
         if node is None:
             return default or False
         value = node.read_scalar()
         if isinstance(value, bool):
             return value
-        self._reject(node, f"is neither true nor false: {_show(value)}", advice)
+        self._add_finding(node, f"is neither true nor false: {_format_value(value)}", fix)
         return False
 
-    def read_name(self, name: str, advice: str = "") -> str:
+    def read_name(self, name: str, fix: str = "") -> str:
         """Return a name."""
-        node = self._find(name, True, advice)
+        node = self._find_node(name, True, fix)
         if node is None:
             return ""
         value = node.read_scalar()
         if isinstance(value, str) and names.is_name(value):
             return value
-        self._reject(node, f"is no name: {_show(value)}", names.RULE)
+        self._add_finding(node, f"is no name: {_format_value(value)}", names.RULE)
         return ""
 
-    def read_text(self, name: str, most: int, default: str | None = None) -> str:
+    def read_text(self, name: str, max_length: int, default: str | None = None) -> str:
         """Return a text of printable letters."""
-        node = self._find(name, default is None)
+        node = self._find_node(name, default is None)
         if node is None:
             return default or ""
         value = node.read_scalar()
-        if isinstance(value, str) and len(value) <= most and value.isprintable():
+        if isinstance(value, str) and len(value) <= max_length and value.isprintable():
             return value
-        self._reject(node, f"is no printable text of at most {most} letters: {_show(value)}")
+        self._add_finding(
+            node, f"is no printable text of at most {max_length} letters: {_format_value(value)}"
+        )
         return ""
 
     def read_choice(self, name: str, choices: collections.abc.Mapping[str, _Choice]) -> _Choice:
         """Return what one of a few words stands for."""
         first = next(iter(choices.values()))
-        node = self._find(name, True)
+        node = self._find_node(name, True)
         if node is None:
             return first
         value = node.read_scalar()
         if isinstance(value, str) and value in choices:
             return choices[value]
-        self._reject(node, f"{_show(value)} is none of {', '.join(choices)}")
+        self._add_finding(node, f"{_format_value(value)} is none of {', '.join(choices)}")
         return first
 
-    def read_items(self, name: str, most: int, required: bool) -> tuple[nodes.Node, ...]:
+    def read_items(self, name: str, max_items: int, required: bool) -> tuple[nodes.Node, ...]:
         """Return the items of a list."""
-        node = self._find(name, required)
+        node = self._find_node(name, required)
         if node is None:
             return ()
         items = node.list_items()
         if items is None:
-            self._reject(node, "is no list")
+            self._add_finding(node, "is no list")
             return ()
-        if len(items) > most:
-            self._reject(node, f"has {len(items)} items, more than {most}")
-        return items[:most]
+        if len(items) > max_items:
+            self._add_finding(node, f"has {len(items)} items, more than {max_items}")
+        return items[:max_items]
 
     def read_node(self, name: str) -> nodes.Node | None:
         """Return a field as a node, for a reader of its own."""
-        return self._find(name, True)
+        return self._find_node(name, True)
 
-    def check_unknown(self) -> None:
+    def report_unknown(self) -> None:
         """
         Report every field that was never asked for; call it last.
 
@@ -132,32 +134,36 @@
         if not self._node.is_handwritten:
             return
         for name, entry in self._entries.items():
-            if name in self._asked:
+            if name in self._known_names:
                 continue
-            nearest = difflib.get_close_matches(name, self._asked, n=1)
-            fix = f"did you mean {nearest[0]}?" if nearest else f"known: {', '.join(self._asked)}"
+            nearest = difflib.get_close_matches(name, self._known_names, n=1)
+            fix = (
+                f"did you mean {nearest[0]}?"
+                if nearest
+                else f"known: {', '.join(self._known_names)}"
+            )
             self._found.append(findings.Finding(entry.place, "is no known field", fix))
 
-    def _take_entry(self, entry: nodes.Entry) -> None:
+    def _add_entry(self, entry: nodes.Entry) -> None:
         if entry.name in self._entries:
             self._found.append(findings.Finding(entry.place, "stands here a second time"))
             return
         self._entries[entry.name] = entry
 
-    def _find(self, name: str, required: bool, advice: str = "") -> nodes.Node | None:
-        self._asked.append(name)
+    def _find_node(self, name: str, required: bool, fix: str = "") -> nodes.Node | None:
+        self._known_names.append(name)
         if name in self._entries:
             return self._entries[name].node
         if required and self._is_mapping:
             place = self._node.describe_field(name)
-            self._found.append(findings.Finding(place, "is missing", advice))
+            self._found.append(findings.Finding(place, "is missing", fix))
         return None
 
-    def _reject(self, node: nodes.Node, problem: str, fix: str = "") -> None:
+    def _add_finding(self, node: nodes.Node, problem: str, fix: str = "") -> None:
         self._found.append(findings.Finding(node.place, problem, fix))
 
 
-def _show(value: nodes.Scalar) -> str:
-    if isinstance(value, nodes.Unreadable):
-        return repr(value.shown[:_SHOWN_LETTERS])
-    return "empty" if value is None else repr(value)[:_SHOWN_LETTERS]
+def _format_value(value: nodes.Scalar) -> str:
+    if isinstance(value, nodes.UnsupportedScalar):
+        return repr(value.text[:_MAX_SHOWN_CHARACTERS])
+    return "empty" if value is None else repr(value)[:_MAX_SHOWN_CHARACTERS]
--- a/libs/contracts/oleander_contracts/fold.py
+++ b/libs/contracts/oleander_contracts/fold.py
@@ -14,13 +14,13 @@
 from oleander_base import invariants
 from oleander_contracts import contract, in_force, records, state, windows
 
-MOST_RECENT_RECORDS = 1000
-MOST_RECENT_BYTES = 4 * 1024 * 1024
-MOST_PEER_BYTES = 1024 * 1024
+MAX_RECENT_RECORDS = 1000
+MAX_RECENT_BYTES = 4 * 1024 * 1024
+MAX_PEER_BYTES = 1024 * 1024
 
-_MOST_REASON_LETTERS = 500
-_WAITS = "waits for a snapshot: records before it are gone"
-_OVERSIZED_VALUE = {"kind": "oversized"}
+_MAX_REASON_CHARACTERS = 500
+_AWAITING_SNAPSHOT = "waits for a snapshot: records before it are gone"
+_OVERSIZED_PLACEHOLDER = {"kind": "oversized"}
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -48,23 +48,23 @@
     offset nor the offset of anything in force.
 
     Where the log has deleted records that were not applied, later ones are held (within the same
-    bound) until a snapshot covers those that are gone; until then `is_waiting` is true, and what
-    was in force before stays so.
+    bound) until a snapshot covers those that are gone; until then `needs_snapshot` is true, and
+    what was in force before stays so.
     """
 
     def __init__(
         self,
-        most_records: int = MOST_RECENT_RECORDS,
-        most_bytes: int = MOST_RECENT_BYTES,
+        max_records: int = MAX_RECENT_RECORDS,
+        max_bytes: int = MAX_RECENT_BYTES,
     ) -> None:
         self._lock = threading.Lock()
-        self._most_records = most_records
-        self._most_bytes = most_bytes
+        self._max_records = max_records
+        self._max_bytes = max_bytes
         self._state = state.ConfigurationState()
         self._applied_offset = in_force.NO_OFFSET
         self._snapshot_offset = in_force.NO_OFFSET
         self._recent = self._create_window(0)
-        self._held: windows.RecordWindow | None = None
+        self._deferred: windows.RecordWindow | None = None
 
     @property
     def applied_offset(self) -> int:
@@ -79,10 +79,10 @@
             return self._read_next_offset()
 
     @property
-    def is_waiting(self) -> bool:
+    def needs_snapshot(self) -> bool:
         """Whether records are missing that only a snapshot can make up for."""
         with self._lock:
-            return self._held is not None
+            return self._deferred is not None
 
     @property
     def snapshot_offset(self) -> int:
@@ -100,21 +100,21 @@
         """
         with self._lock:
             if offset <= self._applied_offset:
-                return expression.Ok(self._recall(offset))
-            record = windows.KeptRecord(offset, logged_at_ms, _limit_size(value))
+                return expression.Ok(self._find_earlier_verdict(offset))
+            record = windows.KeptRecord(offset, logged_at_ms, _replace_oversized(value))
             if offset == self._applied_offset + 1:
                 verdict = self._apply_next(record)
-                self._apply_held()
+                self._apply_deferred()
                 return expression.Ok(verdict)
-            if self._held is not None and offset >= self._held.first_offset:
-                return self._hold(record, self._held)
+            if self._deferred is not None and offset >= self._deferred.first_offset:
+                return self._defer(record, self._deferred)
             return expression.Error(GapError(self._applied_offset + 1, offset))
 
-    def skip_to(self, first_offset: int) -> None:
+    def record_deleted(self, first_offset: int) -> None:
         """Take note that the log has deleted the records below an offset."""
         with self._lock:
             if first_offset > self._read_next_offset():
-                self._held = self._create_window(first_offset)
+                self._deferred = self._create_window(first_offset)
 
     def install_snapshot(self, value: dict[str, typing.Any]) -> in_force.Verdict:
         """Take over what a peer has in force, if it is ahead."""
@@ -132,14 +132,14 @@
         with self._lock:
             return self._state.create_snapshot(self._applied_offset).to_value()
 
-    def records_after(
-        self, offset: int, most_bytes: int = MOST_PEER_BYTES
+    def list_after(
+        self, offset: int, max_bytes: int = MAX_PEER_BYTES
     ) -> expression.Result[tuple[windows.KeptRecord, ...], TooOldError]:
         """Return the records that follow an offset, as many as fit, for a peer that lacks them."""
         with self._lock:
             if offset + 1 < self._recent.first_offset:
                 return expression.Error(TooOldError(self._recent.first_offset))
-            return expression.Ok(self._recent.list_after(offset, most_bytes))
+            return expression.Ok(self._recent.list_after(offset, max_bytes))
 
     def find_verdict(self, offset: int) -> in_force.Verdict | None:
         """Return the verdict on a record, if it was applied not long ago."""
@@ -149,10 +149,10 @@
 
     def find_contract(self, customer: str) -> contract.Contract | None:
         """Return a customer's contract, if it has one."""
-        found = self.read_in_force(customer)
+        found = self.find_in_force(customer)
         return None if found is None else found.contract
 
-    def read_in_force(self, customer: str) -> in_force.InForce | None:
+    def find_in_force(self, customer: str) -> in_force.ContractInForce | None:
         """Return a customer's contract with its offset and author."""
         with self._lock:
             return self._state.contracts.get(customer)
@@ -161,7 +161,7 @@
         """Return every contract in force, by customer."""
         return tuple(item.contract for item in self.list_in_force())
 
-    def list_in_force(self) -> tuple[in_force.InForce, ...]:
+    def list_in_force(self) -> tuple[in_force.ContractInForce, ...]:
         """Return every contract in force with offset and author, by customer."""
         with self._lock:
             return tuple(item for _, item in sorted(self._state.contracts.items()))
@@ -183,14 +183,14 @@
             return in_force.NO_OFFSET if run is None else run.incarnation
 
     def _create_window(self, first_offset: int) -> windows.RecordWindow:
-        return windows.RecordWindow(first_offset, self._most_records, self._most_bytes)
+        return windows.RecordWindow(first_offset, self._max_records, self._max_bytes)
 
     def _read_next_offset(self) -> int:
-        if self._held is not None:
-            return self._held.next_offset
+        if self._deferred is not None:
+            return self._deferred.next_offset
         return self._applied_offset + 1
 
-    def _recall(self, offset: int) -> in_force.Verdict:
+    def _find_earlier_verdict(self, offset: int) -> in_force.Verdict:
         kept = self._recent.find(offset)
         if kept is None or kept.verdict is None:
             return _ignore("applied before; the verdict is no longer kept")
@@ -200,33 +200,33 @@
         match records.read_record(kept.value):
             case expression.Result(tag="ok", ok=record):
                 verdict = self._state.fold(kept.offset, record)
-                self._note_snapshot(kept.offset, record)
+                self._record_snapshot(kept.offset, record)
             case expression.Result(error=found):
                 # Anyone with access to the log may write anything there. Raising would end every
                 # process that reads it, at each start again; a void record harms no one.
-                verdict = _void(str(found)[:_MOST_REASON_LETTERS])
+                verdict = _void(str(found)[:_MAX_REASON_CHARACTERS])
         self._advance_to(kept.offset)
         self._recent.add(dataclasses.replace(kept, verdict=verdict))
         return verdict
 
-    def _hold(
-        self, record: windows.KeptRecord, held: windows.RecordWindow
+    def _defer(
+        self, record: windows.KeptRecord, deferred: windows.RecordWindow
     ) -> expression.Result[in_force.Verdict, GapError]:
         """Keep a record that can't be applied yet; a snapshot may end the wait."""
-        if record.offset > held.next_offset:
-            return expression.Error(GapError(held.next_offset, record.offset))
-        if record.offset == held.next_offset:
-            held.add(record)
-            self._use_snapshot(record, held.first_offset)
+        if record.offset > deferred.next_offset:
+            return expression.Error(GapError(deferred.next_offset, record.offset))
+        if record.offset == deferred.next_offset:
+            deferred.add(record)
+            self._try_snapshot(record, deferred.first_offset)
         if record.offset <= self._applied_offset:
-            return expression.Ok(self._recall(record.offset))
-        return expression.Ok(_ignore(_WAITS))
+            return expression.Ok(self._find_earlier_verdict(record.offset))
+        return expression.Ok(_ignore(_AWAITING_SNAPSHOT))
 
-    def _use_snapshot(self, kept: windows.KeptRecord, first_held: int) -> None:
+    def _try_snapshot(self, kept: windows.KeptRecord, first_deferred: int) -> None:
         """Start from a snapshot if nothing is missing between it and the records held."""
         match records.read_record(kept.value):
             case expression.Result(tag="ok", ok=records.SnapshotRecord() as snapshot):
-                covers_gap = first_held - 1 <= snapshot.through < kept.offset
+                covers_gap = first_deferred - 1 <= snapshot.through < kept.offset
                 if covers_gap:
                     self._install(snapshot)
             case _:
@@ -236,31 +236,31 @@
         if snapshot.through <= self._applied_offset:
             return _ignore("covers no more than was applied")
         after = state.ConfigurationState.from_snapshot(snapshot)
-        if after.size > state.MOST_STATE_BYTES:
+        if after.size > state.MAX_STATE_BYTES:
             return _void("holds more than can be in force")
         # Nothing in force is ever withdrawn, so a snapshot without it was not folded from this
         # stream; taking it would revert what was accepted.
-        decrease = self._state.find_decrease(after)
+        decrease = self._state.find_regression(after)
         if decrease:
             return _void(f"would take back {decrease}")
         self._state = after
         self._advance_to(snapshot.through)
         self._recent = self._create_window(snapshot.through + 1)
-        self._apply_held()
+        self._apply_deferred()
         return in_force.Verdict(in_force.Decision.ACCEPTED, "", snapshot.through, "")
 
-    def _apply_held(self) -> None:
+    def _apply_deferred(self) -> None:
         """Apply the records held that follow on; the wait ends when nothing is missing."""
-        held = self._held
-        if held is None:
+        deferred = self._deferred
+        if deferred is None:
             return
-        held.drop_before(self._applied_offset + 1)
-        while held.find(self._applied_offset + 1) is not None:
-            self._apply_next(held.take_first())
-        if held.next_offset == self._applied_offset + 1:
-            self._held = None
+        deferred.drop_before(self._applied_offset + 1)
+        while deferred.find(self._applied_offset + 1) is not None:
+            self._apply_next(deferred.pop_first())
+        if deferred.next_offset == self._applied_offset + 1:
+            self._deferred = None
 
-    def _note_snapshot(self, offset: int, record: records.Record) -> None:
+    def _record_snapshot(self, offset: int, record: records.Record) -> None:
         if isinstance(record, records.SnapshotRecord) and record.through < offset:
             self._snapshot_offset = max(self._snapshot_offset, offset)
 
@@ -270,10 +270,10 @@
         self._applied_offset = offset
 
 
-def _limit_size(value: dict[str, typing.Any]) -> dict[str, typing.Any]:
+def _replace_oversized(value: dict[str, typing.Any]) -> dict[str, typing.Any]:
     """Return a value, or a stand-in for one that is too large to be anything of ours."""
     size = in_force.measure_value(value)
-    return _OVERSIZED_VALUE if size is None or size > records.MOST_RECORD_BYTES else value
+    return _OVERSIZED_PLACEHOLDER if size is None or size > records.MAX_RECORD_BYTES else value
 
 
 def _void(reason: str) -> in_force.Verdict:
--- a/libs/contracts/oleander_contracts/in_force.py
+++ b/libs/contracts/oleander_contracts/in_force.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class InForce:
+class ContractInForce:
     """A contract in force."""
 
     contract: contract.Contract
--- a/libs/contracts/oleander_contracts/names.py
+++ b/libs/contracts/oleander_contracts/names.py
@@ -2,13 +2,13 @@
 
 import re
 
-MOST_NAME_LETTERS = 64
+MAX_NAME_LENGTH = 64
 OPERATOR = "operator"
 """Whoever holds this name's token is an operator; no customer may be called so."""
 
-RULE = f"lower-case letters, digits and hyphens, first a letter, at most {MOST_NAME_LETTERS}"
+RULE = f"lower-case letters, digits and hyphens, first a letter, at most {MAX_NAME_LENGTH}"
 
-_PATTERN = re.compile(rf"[a-z][a-z0-9-]{{0,{MOST_NAME_LETTERS - 1}}}", re.ASCII)
+_PATTERN = re.compile(rf"[a-z][a-z0-9-]{{0,{MAX_NAME_LENGTH - 1}}}", re.ASCII)
 
 
 def is_name(text: str) -> bool:
--- a/libs/contracts/oleander_contracts/nodes.py
+++ b/libs/contracts/oleander_contracts/nodes.py
@@ -8,17 +8,17 @@
 import ruamel.yaml
 
 _TAG_PREFIX = "tag:yaml.org,2002:"
-_WHOLE_NUMBER = re.compile(r"[-+]?[0-9]{1,18}", re.ASCII)
+_DECIMAL_INTEGER = re.compile(r"[-+]?[0-9]{1,18}", re.ASCII)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Unreadable:
+class UnsupportedScalar:
     """A scalar of a type that no field has, or no scalar at all."""
 
-    shown: str
+    text: str
 
 
-Scalar = int | bool | str | Unreadable | None
+Scalar = int | bool | str | UnsupportedScalar | None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -69,7 +69,7 @@
     return f"{path}.{name}" if path else name
 
 
-class DocumentNode(Node):
+class JsonNode(Node):
     """A node of a JSON document; its place is its path."""
 
     def __init__(self, value: typing.Any, path: str = "") -> None:
@@ -101,19 +101,18 @@
         if not isinstance(self._value, list):
             return None
         return tuple(
-            DocumentNode(value, f"{self._path}[{number}]")
-            for number, value in enumerate(self._value)
+            JsonNode(value, f"{self._path}[{number}]") for number, value in enumerate(self._value)
         )
 
     def read_scalar(self) -> Scalar:
         """Return the value as it is."""
         if self._value is None or isinstance(self._value, int | bool | str):
             return self._value
-        return Unreadable(type(self._value).__name__)
+        return UnsupportedScalar(type(self._value).__name__)
 
     def _make_entry(self, name: str, value: typing.Any) -> Entry:
         path = _join_path(self._path, name)
-        return Entry(name, path, DocumentNode(value, path))
+        return Entry(name, path, JsonNode(value, path))
 
 
 class YamlNode(Node):
@@ -157,7 +156,7 @@
     def read_scalar(self) -> Scalar:
         """Return the value that the text stands for; numbers are decimal."""
         if not isinstance(self._node, ruamel.yaml.ScalarNode):
-            return Unreadable(type(self._node).__name__.removesuffix("Node").lower())
+            return UnsupportedScalar(type(self._node).__name__.removesuffix("Node").lower())
         text = str(self._node.value)
         tag = str(self._node.tag).removeprefix(_TAG_PREFIX)
         if tag == "str":
@@ -166,9 +165,9 @@
             return text.lower() == "true"
         if tag == "null":
             return None
-        if tag == "int" and _WHOLE_NUMBER.fullmatch(text):
+        if tag == "int" and _DECIMAL_INTEGER.fullmatch(text):
             return int(text)
-        return Unreadable(text)
+        return UnsupportedScalar(text)
 
     def _make_entry(self, key: ruamel.yaml.Node, value: ruamel.yaml.Node) -> Entry:
         name = str(key.value) if isinstance(key, ruamel.yaml.ScalarNode) else "?"
--- a/libs/contracts/oleander_contracts/readers.py
+++ b/libs/contracts/oleander_contracts/readers.py
@@ -15,9 +15,9 @@
 from oleander_base import findings
 from oleander_contracts import contract, fields, names, nodes
 
-MOST_BYTES = 64 * 1024
-MOST_OPERATIONS = 64
-MOST_TRAINERS = 16
+MAX_CONTRACT_BYTES = 64 * 1024
+MAX_OPERATIONS = 64
+MAX_TRAINERS = 16
 RESERVED_OPERATION = "trainer"
 """Counters of trainers stand under this word, where other words are operations."""
 
@@ -33,15 +33,15 @@
 _PRIORITIES = {item.name.lower(): item for item in contract.Priority}
 _OBJECTIVES = {item.value: item for item in contract.Objective}
 
-_REPEATABLE_ADVICE = "true if running it twice does no harm, else false"
-_MODEL_ADVICE = "the model whose weights this trainer updates"
+_REPEATABLE_FIX = "true if running it twice does no harm, else false"
+_MODEL_FIX = "the model whose weights this trainer updates"
 
 
 def read_contract(text: str, source: str) -> ContractResult:
     """Return the contract of a YAML or JSON text; `source` names the text in findings."""
     size = len(text.encode(errors="replace"))
-    if size > MOST_BYTES:
-        return _reject(source, f"has {size} bytes, more than {MOST_BYTES}")
+    if size > MAX_CONTRACT_BYTES:
+        return _reject(source, f"has {size} bytes, more than {MAX_CONTRACT_BYTES}")
     composer = ruamel.yaml.YAML(typ="safe", pure=True)
     try:
         # Composing builds no objects, so no tag in the text can make any.
@@ -61,9 +61,9 @@
         size = len(json.dumps(document, separators=(",", ":")))
     except (TypeError, ValueError, RecursionError):
         return _reject("document", "is no JSON document, or is nested too deep")
-    if size > MOST_BYTES:
-        return _reject("document", f"has {size} bytes, more than {MOST_BYTES}")
-    return _read_root(nodes.DocumentNode(document))
+    if size > MAX_CONTRACT_BYTES:
+        return _reject("document", f"has {size} bytes, more than {MAX_CONTRACT_BYTES}")
+    return _read_root(nodes.JsonNode(document))
 
 
 def write_document(terms: contract.Contract) -> dict[str, typing.Any]:
@@ -131,11 +131,11 @@
         found.append(findings.Finding(reader.find_place("customer"), "is kept for operators"))
     share_percent = reader.read_integer("share_percent", _SHARE_PERCENT)
     retry_percent = reader.read_integer("retry_percent", _PERCENT)
-    operations = reader.read_items("operations", MOST_OPERATIONS, required=True)
-    trainers = reader.read_items("trainers", MOST_TRAINERS, required=False)
-    reader.check_unknown()
-    seen_operations = _NameCheck(found)
-    seen_trainers = _NameCheck(found)
+    operations = reader.read_items("operations", MAX_OPERATIONS, required=True)
+    trainers = reader.read_items("trainers", MAX_TRAINERS, required=False)
+    reader.report_unknown()
+    seen_operations = _UniqueNames(found)
+    seen_trainers = _UniqueNames(found)
     return contract.Contract(
         customer=customer,
         share_percent=share_percent,
@@ -145,7 +145,7 @@
     )
 
 
-class _NameCheck:
+class _UniqueNames:
     """Finds names that stand twice in one list."""
 
     def __init__(self, found: list[findings.Finding]) -> None:
@@ -165,35 +165,35 @@
 
 
 def _read_operation(
-    node: nodes.Node, found: list[findings.Finding], seen: _NameCheck
+    node: nodes.Node, found: list[findings.Finding], seen: _UniqueNames
 ) -> contract.Operation:
     reader = fields.FieldReader(node, found)
     operation = contract.Operation(
         name=seen.read_name(reader),
         backend=reader.read_name("backend"),
         priority=reader.read_choice("priority", _PRIORITIES),
-        repeatable=reader.read_boolean("repeatable", _REPEATABLE_ADVICE),
+        repeatable=reader.read_boolean("repeatable", _REPEATABLE_FIX),
         timeout_ms=reader.read_integer("timeout_ms", _TIMEOUT_MS),
         worth=reader.read_integer("worth", _WORTH, _DEFAULT_WORTH),
         generates=reader.read_boolean("generates", default=False),
     )
-    reader.check_unknown()
+    reader.report_unknown()
     if operation.name == RESERVED_OPERATION:
         found.append(findings.Finding(reader.find_place("name"), "is kept for trainers"))
     return operation
 
 
 def _read_trainer(
-    node: nodes.Node, found: list[findings.Finding], seen: _NameCheck
+    node: nodes.Node, found: list[findings.Finding], seen: _UniqueNames
 ) -> contract.TrainerTerms:
     reader = fields.FieldReader(node, found)
     trainer = contract.TrainerTerms(
         name=seen.read_name(reader),
         backend=reader.read_name("backend"),
-        model=reader.read_name("model", _MODEL_ADVICE),
+        model=reader.read_name("model", _MODEL_FIX),
         staleness_bound=reader.read_integer("staleness_bound", _STALENESS),
         objective=reader.read_choice("objective", _OBJECTIVES),
         hedge_percent=reader.read_integer("hedge_percent", _PERCENT),
     )
-    reader.check_unknown()
+    reader.report_unknown()
     return trainer
--- a/libs/contracts/oleander_contracts/records.py
+++ b/libs/contracts/oleander_contracts/records.py
@@ -13,17 +13,17 @@
 
 STREAM = "configuration"
 
-MOST_RECORD_BYTES = 2 * 1024 * 1024
+MAX_RECORD_BYTES = 2 * 1024 * 1024
 """A larger record of any kind is void; a snapshot always fits, see `state`."""
 
-_MOST_SMALL_BYTES = readers.MOST_BYTES + 4096
-_MOST_BY = 200
-_MOST_NONCE = 64
-_MOST_URI = 512
-_MOST_ITEMS = 65536
-_MOST_NUMBER = 2**53
-_NUMBER = fields.Bounds(0, _MOST_NUMBER)
-_OFFSET = fields.Bounds(in_force.NO_OFFSET, _MOST_NUMBER)
+_MAX_SMALL_RECORD_BYTES = readers.MAX_CONTRACT_BYTES + 4096
+_MAX_BY_LENGTH = 200
+_MAX_NONCE_LENGTH = 64
+_MAX_URI_LENGTH = 512
+_MAX_SNAPSHOT_ITEMS = 65536
+_MAX_NUMBER = 2**53
+_NUMBER = fields.Bounds(0, _MAX_NUMBER)
+_OFFSET = fields.Bounds(in_force.NO_OFFSET, _MAX_NUMBER)
 
 
 class Kind(enum.StrEnum):
@@ -104,7 +104,7 @@
     """Everything that the records up to `through` put in force."""
 
     through: int
-    contracts: tuple[in_force.InForce, ...]
+    contracts: tuple[in_force.ContractInForce, ...]
     versions: tuple[in_force.ModelVersion, ...]
     trainers: tuple[in_force.TrainerIncarnation, ...]
 
@@ -147,12 +147,12 @@
     read = _READERS.get(kind)
     if read is None:
         return UnknownRecord(kind)
-    most = MOST_RECORD_BYTES if kind == Kind.SNAPSHOT else _MOST_SMALL_BYTES
+    most = MAX_RECORD_BYTES if kind == Kind.SNAPSHOT else _MAX_SMALL_RECORD_BYTES
     size = in_force.measure_value(value)
     if size is None or size > most:
         found.append(findings.Finding("record", f"is no JSON of at most {most} bytes"))
         return None
-    return read(fields.FieldReader(nodes.DocumentNode(value), found), found)
+    return read(fields.FieldReader(nodes.JsonNode(value), found), found)
 
 
 def _read_contract_record(
@@ -162,8 +162,8 @@
     record = ContractRecord(
         contract=_read_document(reader, found),
         base=reader.read_integer("base", _OFFSET),
-        by=reader.read_text("by", _MOST_BY),
-        nonce=reader.read_text("nonce", _MOST_NONCE, default=""),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
+        nonce=reader.read_text("nonce", _MAX_NONCE_LENGTH, default=""),
     )
     if record.customer != customer:
         place = reader.find_place("customer")
@@ -173,7 +173,7 @@
 
 def _read_document(reader: fields.FieldReader, found: list[findings.Finding]) -> contract.Contract:
     node = reader.read_node("document")
-    return readers.read_terms(node or nodes.DocumentNode({}, "document"), found)
+    return readers.read_terms(node or nodes.JsonNode({}, "document"), found)
 
 
 def _read_version_record(
@@ -182,8 +182,8 @@
     return VersionRecord(
         model=reader.read_name("model"),
         version=reader.read_integer("version", _NUMBER),
-        uri=reader.read_text("uri", _MOST_URI),
-        by=reader.read_text("by", _MOST_BY),
+        uri=reader.read_text("uri", _MAX_URI_LENGTH),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
     )
 
 
@@ -194,7 +194,7 @@
         customer=reader.read_name("customer"),
         trainer=reader.read_name("trainer"),
         incarnation=reader.read_integer("incarnation", _NUMBER),
-        by=reader.read_text("by", _MOST_BY),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
     )
 
 
@@ -207,15 +207,15 @@
         through=through,
         contracts=tuple(
             _read_in_force(fields.FieldReader(node, found), found, offsets)
-            for node in reader.read_items("contracts", _MOST_ITEMS, required=True)
+            for node in reader.read_items("contracts", _MAX_SNAPSHOT_ITEMS, required=True)
         ),
         versions=tuple(
             _read_model_version(fields.FieldReader(node, found), offsets)
-            for node in reader.read_items("versions", _MOST_ITEMS, required=True)
+            for node in reader.read_items("versions", _MAX_SNAPSHOT_ITEMS, required=True)
         ),
         trainers=tuple(
             _read_incarnation(fields.FieldReader(node, found), offsets)
-            for node in reader.read_items("trainers", _MOST_ITEMS, required=True)
+            for node in reader.read_items("trainers", _MAX_SNAPSHOT_ITEMS, required=True)
         ),
     )
     _check_distinct("contracts", [item.contract.customer for item in record.contracts], found)
@@ -226,11 +226,11 @@
 
 def _read_in_force(
     reader: fields.FieldReader, found: list[findings.Finding], offsets: fields.Bounds
-) -> in_force.InForce:
-    return in_force.InForce(
+) -> in_force.ContractInForce:
+    return in_force.ContractInForce(
         contract=_read_document(reader, found),
         offset=reader.read_integer("offset", offsets),
-        by=reader.read_text("by", _MOST_BY),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
     )
 
 
@@ -241,8 +241,8 @@
         model=reader.read_name("model"),
         version=reader.read_integer("version", _NUMBER),
         offset=reader.read_integer("offset", offsets),
-        uri=reader.read_text("uri", _MOST_URI),
-        by=reader.read_text("by", _MOST_BY),
+        uri=reader.read_text("uri", _MAX_URI_LENGTH),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
     )
 
 
@@ -254,7 +254,7 @@
         trainer=reader.read_name("trainer"),
         incarnation=reader.read_integer("incarnation", _NUMBER),
         offset=reader.read_integer("offset", offsets),
-        by=reader.read_text("by", _MOST_BY),
+        by=reader.read_text("by", _MAX_BY_LENGTH),
     )
 
 
--- a/libs/contracts/oleander_contracts/state.py
+++ b/libs/contracts/oleander_contracts/state.py
@@ -5,27 +5,27 @@
 from oleander_base import invariants
 from oleander_contracts import in_force, records
 
-MOST_STATE_BYTES = 1024 * 1024
+MAX_STATE_BYTES = 1024 * 1024
 """
 What is in force takes at most so many bytes as JSON.
 
 A record that would take more is void. This keeps memory bounded and every snapshot smaller than
-the largest record that is read (`records.MOST_RECORD_BYTES`).
+the largest record that is read (`records.MAX_RECORD_BYTES`).
 """
 
-_Item = in_force.InForce | in_force.ModelVersion | in_force.TrainerIncarnation
+_Item = in_force.ContractInForce | in_force.ModelVersion | in_force.TrainerIncarnation
 
 
 class ConfigurationState:
     """
     The contracts, weight versions and trainer incarnations in force; not thread-safe.
 
-    Bounded by `MOST_STATE_BYTES`. It depends on the records alone: not on time, on the process or
+    Bounded by `MAX_STATE_BYTES`. It depends on the records alone: not on time, on the process or
     on how it came to have them.
     """
 
     def __init__(self) -> None:
-        self._contracts: dict[str, in_force.InForce] = {}
+        self._contracts: dict[str, in_force.ContractInForce] = {}
         self._versions: dict[str, in_force.ModelVersion] = {}
         self._trainers: dict[tuple[str, str], in_force.TrainerIncarnation] = {}
         self._bytes = 0
@@ -46,7 +46,7 @@
         return self._bytes
 
     @property
-    def contracts(self) -> dict[str, in_force.InForce]:
+    def contracts(self) -> dict[str, in_force.ContractInForce]:
         """The contracts in force, by customer."""
         return self._contracts
 
@@ -70,7 +70,7 @@
             case records.TrainerRecord():
                 return self._fold_trainer(offset, record)
             case records.SnapshotRecord():
-                return _judge_snapshot(offset, record)
+                return _check_snapshot(offset, record)
         return _ignore("a kind that this release does not know")
 
     def create_snapshot(self, through: int) -> records.SnapshotRecord:
@@ -82,7 +82,7 @@
             trainers=tuple(item for _, item in sorted(self._trainers.items())),
         )
 
-    def find_decrease(self, after: "ConfigurationState") -> str:
+    def find_regression(self, after: "ConfigurationState") -> str:
         """Return what another state would take back; empty if nothing."""
         for customer, contract in self._contracts.items():
             if _read_offset(after.contracts.get(customer)) < contract.offset:
@@ -103,9 +103,11 @@
         # Two operators who started from the same contract both name it as their base. The log's
         # order decides: the first replaces it, so the second's base is in force no more.
         if record.base != _read_offset(current):
-            return _void(current, f"based on {_name_base(record.base)}, {_name_holder(current)}")
-        item = in_force.InForce(record.contract, offset, record.by)
-        return self._put(self._contracts, record.customer, item)
+            return _void(
+                current, f"based on {_describe_base(record.base)}, {_describe_current(current)}"
+            )
+        item = in_force.ContractInForce(record.contract, offset, record.by)
+        return self._replace_item(self._contracts, record.customer, item)
 
     def _fold_version(self, offset: int, record: records.VersionRecord) -> in_force.Verdict:
         current = self._versions.get(record.model)
@@ -114,7 +116,7 @@
         if current is not None and record.version == current.version:
             return _void(current, f"version {current.version} was announced already")
         item = in_force.ModelVersion(record.model, record.version, offset, record.uri, record.by)
-        return self._put(self._versions, record.model, item)
+        return self._replace_item(self._versions, record.model, item)
 
     def _fold_trainer(self, offset: int, record: records.TrainerRecord) -> in_force.Verdict:
         key = (record.customer, record.trainer)
@@ -124,15 +126,15 @@
         item = in_force.TrainerIncarnation(
             record.customer, record.trainer, record.incarnation, offset, record.by
         )
-        return self._put(self._trainers, key, item)
+        return self._replace_item(self._trainers, key, item)
 
-    def _put(
+    def _replace_item(
         self, table: dict[typing.Any, typing.Any], key: typing.Any, item: _Item
     ) -> in_force.Verdict:
         current = table.get(key)
         grown = self._bytes + _measure_item(item) - (_measure_item(current) if current else 0)
-        if grown > MOST_STATE_BYTES:
-            return _void(current, f"no room: {MOST_STATE_BYTES} bytes are in force at most")
+        if grown > MAX_STATE_BYTES:
+            return _void(current, f"no room: {MAX_STATE_BYTES} bytes are in force at most")
         offset = _read_offset(current)
         invariants.require(item.offset > offset, "in-force-offset-grows", f"{key}: {offset}")
         table[key] = item
@@ -140,7 +142,7 @@
         return in_force.Verdict(in_force.Decision.ACCEPTED, "", item.offset, item.by)
 
 
-def _judge_snapshot(offset: int, record: records.SnapshotRecord) -> in_force.Verdict:
+def _check_snapshot(offset: int, record: records.SnapshotRecord) -> in_force.Verdict:
     if record.through >= offset:
         return _void(None, "covers records that come after it")
     return _ignore("a snapshot of what is in force already")
@@ -154,11 +156,11 @@
     return in_force.NO_OFFSET if item is None else item.offset
 
 
-def _name_base(base: int) -> str:
+def _describe_base(base: int) -> str:
     return "no contract" if base == in_force.NO_OFFSET else f"offset {base}"
 
 
-def _name_holder(current: in_force.InForce | None) -> str:
+def _describe_current(current: in_force.ContractInForce | None) -> str:
     if current is None:
         return "but none is in force"
     return f"but offset {current.offset} by {current.by} is in force"
--- a/libs/contracts/oleander_contracts/windows.py
+++ b/libs/contracts/oleander_contracts/windows.py
@@ -25,13 +25,13 @@
     Bounded in number and bytes: the oldest are dropped to make room, but the newest always stays.
     """
 
-    def __init__(self, first_offset: int, most_records: int, most_bytes: int) -> None:
+    def __init__(self, first_offset: int, max_records: int, max_bytes: int) -> None:
         self._records: collections.deque[KeptRecord] = collections.deque()
         self._sizes: collections.deque[int] = collections.deque()
         self._bytes = 0
         self._next_offset = first_offset
-        self._most_records = most_records
-        self._most_bytes = most_bytes
+        self._max_records = max_records
+        self._max_bytes = max_bytes
 
     @property
     def first_offset(self) -> int:
@@ -50,10 +50,10 @@
         self._sizes.append(size)
         self._bytes += size
         self._next_offset = record.offset + 1
-        while len(self._records) > 1 and self._is_over():
-            self.take_first()
+        while len(self._records) > 1 and self._exceeds_bounds():
+            self.pop_first()
 
-    def take_first(self) -> KeptRecord:
+    def pop_first(self) -> KeptRecord:
         """Remove and return the oldest record."""
         self._bytes -= self._sizes.popleft()
         return self._records.popleft()
@@ -61,15 +61,15 @@
     def drop_before(self, offset: int) -> None:
         """Remove the records below an offset."""
         while self._records and self._records[0].offset < offset:
-            self.take_first()
+            self.pop_first()
         self._next_offset = max(self._next_offset, offset)
 
     def find(self, offset: int) -> KeptRecord | None:
         """Return the record at an offset, if it is kept."""
-        place = offset - self.first_offset
-        return self._records[place] if 0 <= place < len(self._records) else None
+        index = offset - self.first_offset
+        return self._records[index] if 0 <= index < len(self._records) else None
 
-    def list_after(self, offset: int, most_bytes: int) -> tuple[KeptRecord, ...]:
+    def list_after(self, offset: int, max_bytes: int) -> tuple[KeptRecord, ...]:
         """Return the records that follow an offset: as many as fit, and one at least."""
         taken: list[KeptRecord] = []
         total = 0
@@ -77,10 +77,10 @@
         following = zip(self._records, self._sizes, strict=True)
         for record, size in itertools.islice(following, start, None):
             total += size
-            if taken and total > most_bytes:
+            if taken and total > max_bytes:
                 break
             taken.append(record)
         return tuple(taken)
 
-    def _is_over(self) -> bool:
-        return len(self._records) > self._most_records or self._bytes > self._most_bytes
+    def _exceeds_bounds(self) -> bool:
+        return len(self._records) > self._max_records or self._bytes > self._max_bytes
--- a/programs/oleanderdeal/oleanderdeal/commands/contract_file.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/contract_file.py
@@ -16,10 +16,10 @@
     path = context.settings.file
     if path == _STANDARD_INPUT:
         # One letter more than is allowed is enough to see that the text is too long.
-        return readers.read_contract(context.source.read(readers.MOST_BYTES + 1), "stdin")
+        return readers.read_contract(context.source.read(readers.MAX_CONTRACT_BYTES + 1), "stdin")
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(readers.MOST_BYTES + 1)
+            text = file.read(readers.MAX_CONTRACT_BYTES + 1)
     except (OSError, UnicodeDecodeError) as error:
         finding = findings.Finding(path, f"can't be read: {error}")
         return expression.Error(findings.Findings((finding,)))
--- a/programs/oleanderdeal/oleanderdeal/commands/publish.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publish.py
@@ -36,7 +36,7 @@
 
 def _create_record(
     context: operator_context.OperatorContext,
-    current: in_force.InForce | None,
+    current: in_force.ContractInForce | None,
     terms: contract.Contract,
 ) -> records.ContractRecord:
     return records.ContractRecord(
@@ -75,7 +75,7 @@
 
 def _print_differences(
     context: operator_context.OperatorContext,
-    current: in_force.InForce | None,
+    current: in_force.ContractInForce | None,
     terms: contract.Contract,
 ) -> None:
     before = None if current is None else current.contract
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -21,12 +21,14 @@
         self._nonce = ""
         self._own_offset: int | None = None
 
-    def read_current(self, customer: str) -> expression.Result[in_force.InForce | None, str]:
+    def read_current(
+        self, customer: str
+    ) -> expression.Result[in_force.ContractInForce | None, str]:
         """Return the customer's contract in force now, or what hinders."""
         problem = self._reader.find_problem()
         if problem:
             return expression.Error(problem)
-        return expression.Ok(self._reader.fold.read_in_force(customer))
+        return expression.Ok(self._reader.fold.find_in_force(customer))
 
     def publish(self, record: records.ContractRecord) -> expression.Result[in_force.Verdict, str]:
         """
--- a/programs/oleanderdeal/oleanderdeal/commands/show.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/show.py
@@ -46,7 +46,7 @@
     return exit_codes.ExitCode.OK
 
 
-def _print_contracts(printer: output.Output, shown: list[in_force.InForce]) -> None:
+def _print_contracts(printer: output.Output, shown: list[in_force.ContractInForce]) -> None:
     printer.print_table("contract", _CONTRACT_COLUMNS, [_list_contract(item) for item in shown])
     operations = [
         _list_operation(item.contract.customer, operation)
@@ -62,7 +62,7 @@
     printer.print_table("trainer", _TRAINER_COLUMNS, trainers)
 
 
-def _list_contract(item: in_force.InForce) -> output.Row:
+def _list_contract(item: in_force.ContractInForce) -> output.Row:
     terms = item.contract
     return terms.customer, item.offset, item.by, terms.share_percent, terms.retry_percent
 
--- a/programs/oleanderdeal/oleanderdeal/configuration.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration.py
@@ -68,7 +68,7 @@
 
     def create_missing_records(self, peer_offset: int) -> messages.Records:
         """Return the records after a peer's offset, or a snapshot if those were discarded."""
-        missing = self._configuration.records_after(peer_offset)
+        missing = self._configuration.list_after(peer_offset)
         if missing.is_error():
             return messages.Records([], [], [], self._configuration.create_snapshot())
         return messages.Records(
@@ -136,7 +136,7 @@
 
     def _apply_page(self, page: logservice.Page) -> None:
         previous_offset = self._configuration.applied_offset
-        self._configuration.skip_to(page.first_offset)
+        self._configuration.record_deleted(page.first_offset)
         for record in page.records:
             if self._configuration.apply(
                 record.offset, record.logged_at_ms, record.value
--- a/programs/oleanderdeal/oleanderdeal/configuration_reader.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration_reader.py
@@ -40,7 +40,7 @@
         result = self.read_to_end()
         if result.is_error():
             return f"the log can't be read: {result.error.detail}"
-        return NO_SNAPSHOT if self._fold.is_waiting else ""
+        return NO_SNAPSHOT if self._fold.needs_snapshot else ""
 
     def read_to_end(self) -> expression.Result[None, logservice.LogError]:
         """Read until the current end of the stream, or until the command's deadline."""
@@ -62,7 +62,7 @@
             self._log.wait()
 
     def _apply_page(self, page: logservice.Page) -> None:
-        self._fold.skip_to(page.first_offset)
+        self._fold.record_deleted(page.first_offset)
         for record in page.records:
             if record.offset != self._fold.next_offset:
                 return
--- a/programs/oleanderdeal/oleanderdeal/snapshots.py
+++ b/programs/oleanderdeal/oleanderdeal/snapshots.py
@@ -56,7 +56,7 @@
 
     def _is_due(self) -> bool:
         applied = self._configuration.applied_offset
-        if applied <= self._latest_snapshot_offset or self._configuration.is_waiting:
+        if applied <= self._latest_snapshot_offset or self._configuration.needs_snapshot:
             return False
         is_many = applied - self._latest_snapshot_offset > _MAX_RECORDS_BETWEEN
         return self._next_write_due.is_past or (is_many and random.random() < _JITTER)
