--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -41,13 +41,13 @@
     def put(self, key, value):
         pass
 
-    def drop(self, key):
+    def delete(self, key):
         pass
 
-    def keep_only(self, keys):
+    def retain_only(self, keys):
         pass
 
-    def note_current(self):
+    def mark_current(self):
         self.current_at = time.monotonic()
 
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -147,10 +147,10 @@
         context.known = _create_directory()
         sink = samplers.ServerSink(context.known)
         sink.put("good", json.dumps(_REGISTRATION).encode())
-        sink.note_current()
+        sink.mark_current()
         context.now += silent
-        sink.drop("good")
-        sink.note_current()
+        sink.delete("good")
+        sink.mark_current()
 
 
 @behave.then("after {seconds:f} s more the server is {state}")
--- a/features/steps/shared_crashes_steps.py
+++ b/features/steps/shared_crashes_steps.py
@@ -117,8 +117,8 @@
 def check_unreadable(context, key, value):
     crashes = ledger.CrashLedger(crash_fakes.SEED)
     sink = crash_records.CrashSink(crashes)
-    read = recordlog.read_keyed(
-        recordlog.RawRecord(0, recordlog.write_keyed(key, bytes.fromhex(value)))
+    read = recordlog.decode_keyed(
+        recordlog.RawRecord(0, recordlog.encode_keyed(key, bytes.fromhex(value)))
     )
     sink.put(read.key, read.value)
     assert crashes.is_empty
--- a/libs/platform/oleander_platform/http_hostlist.py
+++ b/libs/platform/oleander_platform/http_hostlist.py
@@ -8,7 +8,7 @@
 from oleander_platform import hostlist
 
 _STATUS_OK = 200
-_MOST_PORT = 65535
+_MAX_PORT = 65535
 _STATES = {state.value: state for state in hostlist.HostState}
 
 
@@ -58,4 +58,4 @@
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _MOST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _MAX_PORT
--- a/libs/platform/oleander_platform/http_logservice.py
+++ b/libs/platform/oleander_platform/http_logservice.py
@@ -8,9 +8,9 @@
 from oleander_base import clock, http_exchange, json_input, metrics
 from oleander_platform import logservice
 
-_MOST_RECORDS = 500
+_MAX_RECORDS = 500
 _STATUS_OK = 200
-_STATUSES_WITHOUT_EFFECT = (429, 503)
+_NOT_APPENDED_STATUSES = (429, 503)
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _PLACE = "answer"
 
@@ -28,7 +28,7 @@
     ) -> expression.Result[int, logservice.LogError]:
         """Append records together; return the offset of the first."""
         body = json.dumps({"records": values}).encode()
-        request = http_exchange.Request("POST", _name_path(stream), body, _JSON_HEADERS)
+        request = http_exchange.Request("POST", _build_path(stream), body, _JSON_HEADERS)
         received = _check_answer(self._caller.call_once(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
@@ -37,7 +37,7 @@
         if answer.take_count("count") != len(values):
             answer.reject("count", "differs from the records sent")
         if not answer.is_valid:
-            return expression.Error(_reject_answer(answer))
+            return expression.Error(_report_malformed(answer))
         return expression.Ok(first_offset)
 
     def read(
@@ -51,19 +51,19 @@
         written by mistake can't stop everyone who reads the stream.
         """
         wait_ms = min(wait_ms, deadline.remaining_ms // 2)
-        query = f"?offset={offset}&limit={_MOST_RECORDS}&wait_ms={wait_ms}"
-        request = http_exchange.Request("GET", _name_path(stream) + query)
+        query = f"?offset={offset}&limit={_MAX_RECORDS}&wait_ms={wait_ms}"
+        request = http_exchange.Request("GET", _build_path(stream) + query)
         received = _check_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
         answer = received.ok
         page = _read_page(answer, offset)
         if not answer.is_valid:
-            return expression.Error(_reject_answer(answer))
+            return expression.Error(_report_malformed(answer))
         return expression.Ok(page)
 
 
-def _name_path(stream: str) -> str:
+def _build_path(stream: str) -> str:
     return f"/streams/{http_exchange.quote_segment(stream)}/records"
 
 
@@ -78,22 +78,22 @@
     """
     if answered.is_error():
         refused = answered.error.reach is http_exchange.Reach.REFUSED
-        return expression.Error(_fail(answered.error.detail, not refused, 0))
+        return expression.Error(_count_failure(answered.error.detail, not refused, 0))
     answer = answered.ok
     if answer.status != _STATUS_OK:
-        may_have_effect = answer.status not in _STATUSES_WITHOUT_EFFECT
+        may_have_effect = answer.status not in _NOT_APPENDED_STATUSES
         detail = f"the log answered with status {answer.status}"
-        return expression.Error(_fail(detail, may_have_effect, answer.retry_after_ms))
+        return expression.Error(_count_failure(detail, may_have_effect, answer.retry_after_ms))
     return expression.Ok(json_input.read_object(_PLACE, answer.body))
 
 
-def _fail(detail: str, may_have_effect: bool, retry_after_ms: int) -> logservice.LogError:
+def _count_failure(detail: str, may_have_effect: bool, retry_after_ms: int) -> logservice.LogError:
     metrics.count(metrics.LOG_FAILED_CALLS)
     return logservice.LogError(detail, may_have_effect, retry_after_ms)
 
 
-def _reject_answer(answer: json_input.ObjectReader) -> logservice.LogError:
-    return _fail(f"malformed answer: {answer.found}", True, 0)
+def _report_malformed(answer: json_input.ObjectReader) -> logservice.LogError:
+    return _count_failure(f"malformed answer: {answer.found}", True, 0)
 
 
 def _read_page(answer: json_input.ObjectReader, offset: int) -> logservice.Page:
--- a/libs/platform/oleander_platform/keyed_follower.py
+++ b/libs/platform/oleander_platform/keyed_follower.py
@@ -11,7 +11,7 @@
 """Above the wait by a slow store's answer."""
 _PROBE_SECONDS = 0.6
 """For a read while the log is away, which waits for no record."""
-_AGAIN_SECONDS = 0.2
+_RETRY_SECONDS = 0.2
 """Between tries while the log does not answer: five calls a second."""
 _PARTITION = 0
 
@@ -24,15 +24,15 @@
         """Take in the newest value of a key."""
 
     @abc.abstractmethod
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         """Take in that a key is gone."""
 
     @abc.abstractmethod
-    def keep_only(self, keys: set[str]) -> None:
+    def retain_only(self, keys: set[str]) -> None:
         """Take in all keys that there are, after a whole reading."""
 
     @abc.abstractmethod
-    def note_current(self) -> None:
+    def mark_current(self) -> None:
         """Take in that the topic was read to its end."""
 
 
@@ -59,36 +59,36 @@
         self._group = group
         self._pause_seconds = pause_seconds
         self._next_offset: int | None = None
-        self._was_lost = False
+        self._is_log_lost = False
 
     def follow(self) -> None:
         """Read until the group stops."""
         while not self._group.is_stopping:
-            succeeded = self._read_whole() if self._next_offset is None else self._read_on()
-            self._note(succeeded)
-            self._group.pause(self._pause_seconds if succeeded else _AGAIN_SECONDS)
+            succeeded = self._read_all() if self._next_offset is None else self._read_new()
+            self._record_result(succeeded)
+            self._group.pause(self._pause_seconds if succeeded else _RETRY_SECONDS)
 
-    def _note(self, succeeded: bool) -> None:
+    def _record_result(self, succeeded: bool) -> None:
         if succeeded:
-            self._sink.note_current()
-        if self._was_lost == succeeded:
-            self._was_lost = not succeeded
+            self._sink.mark_current()
+        if self._is_log_lost == succeeded:
+            self._is_log_lost = not succeeded
             event = "dependency-regained" if succeeded else "dependency-lost"
             log.logger.bind(event=event, topic=self._topic).info("the platform's log")
 
-    def _read_whole(self) -> bool:
+    def _read_all(self) -> bool:
         newest = self._log.read_newest(self._topic, clock.start_deadline(_READ_SECONDS))
         if newest.is_error():
             log.warn_bounded(f"unread-{self._topic}", newest.error.detail)
             return False
         records, next_offset = newest.ok
-        self._sink.keep_only({item.key for item in records if item.value is not None})
+        self._sink.retain_only({item.key for item in records if item.value is not None})
         for item in records:
-            self._take(item)
+            self._apply(item)
         self._next_offset = next_offset
         return True
 
-    def _read_on(self) -> bool:
+    def _read_new(self) -> bool:
         """
         Read what is new, waiting for it unless the log was away.
 
@@ -96,8 +96,8 @@
         whole wait, and the process would refuse its callers for a second longer than it must.
         """
         offset = self._next_offset or 0
-        wait_ms = 0 if self._was_lost else _WAIT_MS
-        deadline = clock.start_deadline(_PROBE_SECONDS if self._was_lost else _READ_SECONDS)
+        wait_ms = 0 if self._is_log_lost else _WAIT_MS
+        deadline = clock.start_deadline(_PROBE_SECONDS if self._is_log_lost else _READ_SECONDS)
         read = self._log.read(self._topic, _PARTITION, offset, wait_ms, deadline)
         if read.is_error():
             log.warn_bounded(f"unread-{self._topic}", read.error.detail)
@@ -108,18 +108,18 @@
                 event="log-gap", topic=self._topic, read_to=offset, first=page.first_offset
             ).info("reading the newest of each key")
             self._next_offset = None
-            return self._read_whole()
+            return self._read_all()
         for record in page.records:
-            item = recordlog.read_keyed(record)
+            item = recordlog.decode_keyed(record)
             if item is None:
                 log.warn_bounded(f"record-{self._topic}", "a malformed record is passed over")
             else:
-                self._take(item)
+                self._apply(item)
         self._next_offset = page.next_offset
         return True
 
-    def _take(self, item: recordlog.KeyedRecord) -> None:
+    def _apply(self, item: recordlog.KeyedRecord) -> None:
         if item.value is None:
-            self._sink.drop(item.key)
+            self._sink.delete(item.key)
         else:
             self._sink.put(item.key, item.value)
--- a/libs/platform/oleander_platform/recordlog.py
+++ b/libs/platform/oleander_platform/recordlog.py
@@ -23,7 +23,7 @@
 class RawPage:
     """Consecutive records of a partition."""
 
-    asked_offset: int
+    requested_offset: int
     records: tuple[RawRecord, ...]
     first_offset: int
     """The oldest record still kept."""
@@ -40,7 +40,7 @@
         """
         if self.records:
             return self.records[-1].offset + 1
-        return max(self.asked_offset, self.first_offset)
+        return max(self.requested_offset, self.first_offset)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Appended:
+class AppendedRange:
     """Where records stand."""
 
     first_offset: int
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class EndMoved:
+class EndMismatch:
     """A conditional append did nothing: the partition does not end where it was expected to."""
 
     end_offset: int
@@ -95,7 +95,7 @@
     @abc.abstractmethod
     def append(
         self, topic: str, partition: int, records: list[bytes], deadline: clock.Deadline
-    ) -> expression.Result[Appended, LogError]:
+    ) -> expression.Result[AppendedRange, LogError]:
         """Append all records or none; after an error that may have had effect they may come."""
 
     @abc.abstractmethod
@@ -106,7 +106,7 @@
         records: list[bytes],
         end_offset: int,
         deadline: clock.Deadline,
-    ) -> expression.Result[Appended, LogError | EndMoved]:
+    ) -> expression.Result[AppendedRange, LogError | EndMismatch]:
         """Append where the partition ends at an offset, and do nothing elsewhere."""
 
     @abc.abstractmethod
@@ -138,13 +138,13 @@
         """Leave a group, so that others get the partitions at once."""
 
 
-def write_keyed(key: str, value: bytes) -> bytes:
+def encode_keyed(key: str, value: bytes) -> bytes:
     """Return a record of a keyed topic; without a value it drops the key."""
     raw_key = key.encode()
     return bytes((len(raw_key),)) + raw_key + value
 
 
-def read_keyed(record: RawRecord) -> KeyedRecord | None:
+def decode_keyed(record: RawRecord) -> KeyedRecord | None:
     """Return a record of a keyed topic, or nothing where it is malformed."""
     if not record.content:
         return None
--- a/libs/wire/oleander_wire/codec.py
+++ b/libs/wire/oleander_wire/codec.py
@@ -11,15 +11,15 @@
 from oleander_base import findings
 from oleander_wire import messages
 
-MOST_FRAME_BYTES = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 _TYPE_FIELD = "type"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Field:
     name: str
-    kind: type
-    optional: bool
+    value_type: type
+    is_optional: bool
 
 
 def _read_fields(message_type: type) -> tuple[_Field, ...]:
@@ -111,15 +111,15 @@
     field: _Field, value: typing.Any, place: str, found: list[findings.Finding]
 ) -> typing.Any:
     where = f"{place}.{field.name}"
-    if value is None and field.optional:
+    if value is None and field.is_optional:
         return None
-    if field.kind in _FIELDS and isinstance(value, dict):
-        return _decode_fields(field.kind, value, where, found)
-    if issubclass(field.kind, enum.Enum):
-        known = {item.value: item for item in field.kind}
+    if field.value_type in _FIELDS and isinstance(value, dict):
+        return _decode_fields(field.value_type, value, where, found)
+    if issubclass(field.value_type, enum.Enum):
+        known = {item.value: item for item in field.value_type}
         if isinstance(value, str) and value in known:
             return known[value]
-    elif type(value) is field.kind:
+    elif type(value) is field.value_type:
         return value
-    found.append(findings.Finding(where, f"is no {field.kind.__name__}"))
+    found.append(findings.Finding(where, f"is no {field.value_type.__name__}"))
     return None
--- a/libs/wire/oleander_wire/link.py
+++ b/libs/wire/oleander_wire/link.py
@@ -32,15 +32,15 @@
     """Whether nobody listens at the address."""
 
 
-def _bound_sends(connected: socket.socket) -> None:
+def _set_send_timeout(connected: socket.socket) -> None:
     """
     Let a send fail after a while.
 
     A peer that is paused stops reading; once the buffers are full, a send to it would block its
     thread for as long as the pause lasts. With the bound the link is closed instead.
     """
-    bound = struct.pack("ll", _SEND_SECONDS, 0)
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, bound)
+    timeout = struct.pack("ll", _SEND_SECONDS, 0)
+    connected.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeout)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
@@ -49,7 +49,7 @@
 
     def __init__(self, connection: websockets.sync.connection.Connection) -> None:
         self._connection = connection
-        _bound_sends(connection.socket)
+        _set_send_timeout(connection.socket)
         self._send_lock = threading.Lock()
         self._closed = threading.Event()
 
@@ -59,7 +59,7 @@
         return self._closed.is_set()
 
     @property
-    def is_abandoned(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """
         Whether the other end has closed the link, also where that has not been read yet.
 
@@ -135,7 +135,7 @@
             open_timeout=max(0.05, deadline.remaining),
             close_timeout=_CLOSE_SECONDS,
             ping_interval=None,
-            max_size=codec.MOST_FRAME_BYTES,
+            max_size=codec.MAX_FRAME_BYTES,
         )
     except (OSError, TimeoutError, websockets.exceptions.WebSocketException) as error:
         is_refused = isinstance(error, ConnectionRefusedError)
@@ -151,10 +151,10 @@
         host: str,
         port: int,
         handler: collections.abc.Callable[[Link], None],
-        most_links: int,
+        max_links: int,
     ) -> None:
         self._handler = handler
-        self._slots = threading.BoundedSemaphore(most_links)
+        self._slots = threading.BoundedSemaphore(max_links)
         self._server = websockets.sync.server.serve(
             self._serve_connection,
             host,
@@ -163,7 +163,7 @@
             open_timeout=_HANDSHAKE_SECONDS,
             close_timeout=_CLOSE_SECONDS,
             ping_interval=None,
-            max_size=codec.MOST_FRAME_BYTES,
+            max_size=codec.MAX_FRAME_BYTES,
         )
 
     @property
--- a/programs/oleanderdeal/oleanderdeal/crash_records.py
+++ b/programs/oleanderdeal/oleanderdeal/crash_records.py
@@ -46,16 +46,16 @@
             quarantine_s=int(quarantine.remaining) if quarantine else 0,
         ).info("another process recorded a server crash during a request")
 
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         """Remove a crash that was withdrawn."""
         decoded = records.decode_key(key)
         if decoded.is_ok():
             self._ledger.remove_crash(decoded.ok)
 
-    def keep_only(self, keys: set[str]) -> None:
+    def retain_only(self, keys: set[str]) -> None:
         """Remove nothing, since crashes of this process may not be in the log yet."""
 
-    def note_current(self) -> None:
+    def mark_current(self) -> None:
         """Do nothing: crashes count even before the topic was read to its end."""
 
 
@@ -78,11 +78,11 @@
 
     def publish(self, crash: records.Crash) -> None:
         """Queue the record of a crash."""
-        self._enqueue([recordlog.write_keyed(crash.key.text, records.encode_crash(crash))])
+        self._enqueue([recordlog.encode_keyed(crash.key.text, records.encode_crash(crash))])
 
     def withdraw(self, keys: list[records.CrashKey]) -> None:
         """Queue the removal of crashes from the log."""
-        self._enqueue([recordlog.write_keyed(key.text, b"") for key in keys])
+        self._enqueue([recordlog.encode_keyed(key.text, b"") for key in keys])
 
     def write(self) -> None:
         """Append queued records until the group stops."""
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -217,7 +217,7 @@
             send=self._send,
             answer=end,
             cancelled=threading.Event(),
-            is_abandoned=lambda: self._link.is_abandoned,
+            is_abandoned=lambda: self._link.is_closed_by_peer,
         )
         self._executor.submit(pending)
 
--- a/standins/oleander_standins/recordlog.py
+++ b/standins/oleander_standins/recordlog.py
@@ -69,7 +69,7 @@
 
     def append(
         self, topic: str, partition: int, records: list[bytes], deadline: clock.Deadline
-    ) -> expression.Result[recordlog.Appended, recordlog.LogError]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError]:
         """Append all records or none."""
         if self.faults.is_silent:
             return expression.Error(_let_pass(deadline))
@@ -86,7 +86,7 @@
         records: list[bytes],
         end_offset: int,
         deadline: clock.Deadline,
-    ) -> expression.Result[recordlog.Appended, recordlog.LogError | recordlog.EndMoved]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
         """Append where the partition ends at an offset."""
         return self._append(_LateAppend(topic, partition, records, end_offset))
 
@@ -120,7 +120,7 @@
             return expression.Error(page.error)
         newest: dict[str, recordlog.KeyedRecord] = {}
         for record in page.ok.records:
-            item = recordlog.read_keyed(record)
+            item = recordlog.decode_keyed(record)
             if item is not None:
                 newest[item.key] = item
         kept = tuple(item for item in newest.values() if item.value is not None)
@@ -154,7 +154,7 @@
 
     def _append(
         self, append: _LateAppend
-    ) -> expression.Result[recordlog.Appended, recordlog.LogError | recordlog.EndMoved]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
         faults = self.faults
         self.appends += 1
         if faults.is_down:
@@ -175,13 +175,13 @@
 
     def _apply(
         self, append: _LateAppend
-    ) -> expression.Result[recordlog.Appended, recordlog.LogError | recordlog.EndMoved]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
         held = self._partitions[append.topic, append.partition]
         end = held.first_offset + len(held.records)
         if append.end_offset is not None and append.end_offset != end:
-            return expression.Error(recordlog.EndMoved(end))
+            return expression.Error(recordlog.EndMismatch(end))
         held.records.extend(append.records)
-        return expression.Ok(recordlog.Appended(end, end + len(append.records)))
+        return expression.Ok(recordlog.AppendedRange(end, end + len(append.records)))
 
 
 def _let_pass(deadline: clock.Deadline) -> recordlog.LogError:
