--- a/libs/base/oleander_base/__init__.py
+++ b/libs/base/oleander_base/__init__.py
@@ -1,4 +1,4 @@
-"""What every library and program shares: time, findings, logs, metrics, tasks, invariants."""
+"""Utilities shared by all libraries and programs: time, logs, metrics, HTTP, tasks, checks."""
 
 from oleander_base import (
     clock,
--- a/libs/base/oleander_base/clock.py
+++ b/libs/base/oleander_base/clock.py
@@ -1,4 +1,4 @@
-"""The one place where time is read."""
+"""Clocks and deadlines; all code reads the time through this module."""
 
 import dataclasses
 import time
@@ -6,27 +6,27 @@
 
 def read_now() -> float:
     """
-    Return monotonic seconds; comparable only within one process.
+    Return monotonic seconds, which are comparable only within one process.
 
-    The boot-time clock also counts the time that a host was suspended. By the plain monotonic
-    clock a holder that slept through its lease would wake up with most of it left, and act beside
-    its successor.
+    CLOCK_BOOTTIME also counts the time that the host was suspended. CLOCK_MONOTONIC does not: a
+    lease holder that was suspended past the end of its lease would resume with most of the lease
+    left and act at the same time as its successor.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_wall_ms() -> int:
     """
-    Return wall-clock milliseconds, for people to read and for windows of true time.
+    Return Unix time in milliseconds, for display and for windows of calendar time.
 
-    Clocks differ between hosts, so no decision may compare one host's with another's.
+    Clocks differ between hosts, so no decision may compare the times of two hosts.
     """
     return int(time.time() * 1000)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Deadline:
-    """A point of monotonic time after which work is no longer wanted."""
+    """A point of monotonic time (`read_now`) after which a result is no longer useful."""
 
     expires_at: float
 
@@ -37,7 +37,7 @@
 
     @property
     def remaining_ms(self) -> int:
-        """Milliseconds left, never negative; this is what travels between hosts."""
+        """Milliseconds left, never negative; messages between hosts carry this, not a time."""
         return int(self.remaining * 1000)
 
     @property
@@ -46,15 +46,15 @@
         return read_now() >= self.expires_at
 
     def cap(self, seconds: float) -> "Deadline":
-        """Return the sooner of this deadline and one that many seconds from now."""
+        """Return the earlier of this deadline and one `seconds` from now."""
         return Deadline(min(self.expires_at, read_now() + seconds))
 
 
 def start_deadline(seconds: float) -> Deadline:
-    """Return the deadline that many seconds from now."""
+    """Return a deadline `seconds` from now."""
     return Deadline(read_now() + seconds)
 
 
 def start_deadline_ms(milliseconds: int) -> Deadline:
-    """Return the deadline that many milliseconds from now."""
+    """Return a deadline `milliseconds` from now."""
     return start_deadline(milliseconds / 1000)
--- a/libs/base/oleander_base/exposition.py
+++ b/libs/base/oleander_base/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text, in the format that Prometheus reads."""
+"""Metrics in the text exposition format of Prometheus."""
 
 import collections.abc
 import itertools
@@ -14,8 +14,8 @@
     """
     Return all counters, gauges and histograms of this process.
 
-    The library is loaded when somebody first asks: it takes 2.7 MB of memory that a process
-    whose metrics nobody reads does not need.
+    prometheus_client is imported on the first call, as it takes 2.7 MB of memory that a process
+    without a scraper does not need.
     """
     import prometheus_client.exposition
     import prometheus_client.registry
@@ -26,10 +26,10 @@
 
 
 class _Collector:
-    """Hands our figures to the library."""
+    """Converts the process's metrics to the metric families of prometheus_client."""
 
     def collect(self) -> collections.abc.Iterator[typing.Any]:
-        """Yield each metric with its figures now."""
+        """Yield every metric with its current value."""
         from prometheus_client import metrics_core
 
         meanings = {item.name: item.meaning for item in metrics.list_metrics()}
--- a/libs/base/oleander_base/http_connection.py
+++ b/libs/base/oleander_base/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection by http.client, every step of which ends at a deadline."""
+"""An http.client connection on which every send and receive ends at a deadline."""
 
 import collections.abc
 import http.client
@@ -9,7 +9,7 @@
 from oleander_base import clock
 
 _CANCELLATION_POLL_SECONDS = 0.1
-"""How often a waiting reader looks whether it was cancelled."""
+"""A blocked read checks for cancellation this often."""
 
 
 def _never_cancelled() -> bool:
@@ -17,22 +17,22 @@
 
 
 class CancelledError(OSError):
-    """The request is no longer wanted."""
+    """Raised by a read whose request was cancelled by the caller."""
 
 
 class _DeadlineSocket(socket.socket):
     """
     Applies one deadline to every send and receive.
 
-    A plain timeout starts anew with each received byte, so a peer that sends one byte in a
-    while would hold its caller for ever.
+    A plain socket timeout restarts with each received byte, so a peer that sends a byte now and
+    then would block its caller forever.
     """
 
     deadline = clock.Deadline(0.0)
     is_cancelled: collections.abc.Callable[[], bool] = staticmethod(_never_cancelled)
 
     def recv_into(self, buffer: typing.Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Receive, waiting until the deadline at most; looks now and then for a cancellation."""
+        """Receive; raise TimeoutError at the deadline and CancelledError on cancellation."""
         while True:
             self.settimeout(min(_CANCELLATION_POLL_SECONDS, _read_remaining(self.deadline)))
             try:
@@ -42,13 +42,13 @@
                     raise CancelledError("the request is no longer wanted") from None
 
     def sendall(self, data: typing.Any, flags: int = 0) -> None:
-        """Send everything, waiting until the deadline at most."""
+        """Send all data; raise TimeoutError at the deadline."""
         self.settimeout(_read_remaining(self.deadline))
         super().sendall(data, flags)
 
 
 class Connection(http.client.HTTPConnection):
-    """A connection whose every step ends at the deadline of the request in progress."""
+    """A connection whose sends and receives end at the deadline of the current request."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port)
@@ -57,16 +57,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether an earlier request left the connection open."""
+        """Whether the connection is open, as after an earlier request."""
         return self.sock is not None
 
     @property
     def is_reusable(self) -> bool:
         """
-        Whether nothing has arrived on an idle connection.
+        Whether the connection is open and has no unread input.
 
-        Bytes there are the end of the connection or an answer that belongs to no request. Taken
-        for the next answer they would reach another caller.
+        Unread input on an idle connection is either its end or an unsolicited response, which
+        would be returned to the caller of the next request.
         """
         if self.sock is None:
             return False
@@ -79,13 +79,13 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool] = _never_cancelled,
     ) -> None:
-        """Set the deadline of the next request, and what tells that nobody wants its answer."""
+        """Set the deadline of the next request and the function that tells if it is cancelled."""
         self._deadline = deadline
         self._is_cancelled = is_cancelled
         self._apply_deadline()
 
     def connect(self) -> None:
-        """Open the connection."""
+        """Open the connection; raise TimeoutError at the deadline."""
         remaining = _read_remaining(self._deadline)
         plain = socket.create_connection((self.host, self.port), remaining)
         plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/libs/base/oleander_base/http_exchange.py
+++ b/libs/base/oleander_base/http_exchange.py
@@ -1,4 +1,4 @@
-"""HTTP requests by http.client that end at a deadline and fail as values."""
+"""HTTP requests through http.client that end at a deadline and return errors as values."""
 
 import collections.abc
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class Reach(enum.Enum):
-    """How far a failed request can have got."""
+    """Whether a failed request may have reached the server."""
 
     REFUSED = "refused"
     """The peer refused the connection."""
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Request:
-    """One request; the path is quoted already and may have a query."""
+    """One request; the path is already percent-encoded and may include a query."""
 
     method: str
     path: str
@@ -42,34 +42,34 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Answer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     retry_after_ms: int
-    """How long the peer asked to wait before another attempt; 0 where it did not say."""
+    """Retry-After in milliseconds, at most one hour; 0 if absent or not a number."""
     body: bytes
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ExchangeError:
-    """There is no whole answer."""
+    """No complete response was received."""
 
     detail: str
     reach: Reach
     peer_ended: bool = False
-    """Whether the peer takes no more connections, after it had broken this one off."""
+    """Whether the server process has ended: it closed the connection, then refused a new one."""
 
 
 def quote_segment(text: str) -> str:
-    """Return a text as one segment of a path."""
+    """Percent-encode a text as one segment of a path."""
     return urllib.parse.quote(text, safe="")
 
 
 class AnswerStream:
-    """An answer being received; only `abort` may be called from another thread."""
+    """A response being received; only `abort` may be called from another thread."""
 
     def __init__(self, connection: http_connection.Connection, request: Request) -> None:
-        """Send the request and receive the head of the answer; raises what http.client does."""
+        """Send the request and receive the response head; raise the errors of http.client."""
         connection.request(request.method, request.path, request.body, dict(request.headers))
         self._connection = connection
         self._socket: socket.socket = connection.sock
@@ -78,19 +78,19 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status code."""
         return self._response.status
 
     @property
     def retry_after_ms(self) -> int:
-        """How long the peer asked to wait before another attempt; 0 where it did not say."""
+        """Retry-After in milliseconds, at most one hour; 0 if absent or not a number."""
         seconds = self._response.getheader("Retry-After") or ""
         if not (seconds.isascii() and seconds.isdigit()):
             return 0
         return min(int(seconds[:6]), _MAX_RETRY_AFTER_SECONDS) * 1000
 
     def read_line(self) -> expression.Result[bytes, ExchangeError]:
-        """Return the next line with its end, or nothing at the end of the answer."""
+        """Return the next line with its newline, or empty bytes at the end of the body."""
         try:
             line = self._response.readline(MAX_LINE_BYTES)
         except _FAILURES as error:
@@ -100,20 +100,20 @@
         return expression.Ok(line)
 
     def read_body(self) -> expression.Result[Answer, ExchangeError]:
-        """Return the whole answer; one that ends before its stated length is an error."""
+        """Return the complete response; a body shorter than its stated length is an error."""
         try:
             return expression.Ok(self.receive_answer())
         except _FAILURES as error:
             return expression.Error(self._describe(error))
 
     def receive_answer(self) -> Answer:
-        """Return the whole answer and leave the connection as it is; raises on failure."""
+        """Return the complete response and leave the connection open; raise on failure."""
         body = _receive_body(self._response)
         self._response.close()
         return Answer(self.status, self.retry_after_ms, body)
 
     def abort(self) -> None:
-        """Make a blocked read of another thread end at once."""
+        """Shut the connection down, which ends a read that blocks in another thread."""
         self._was_aborted = True
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
@@ -143,7 +143,7 @@
 
 
 def describe_failure(error: Exception) -> ExchangeError:
-    """Return an exception of http.client or of a socket as a value."""
+    """Convert an exception of http.client or of a socket to an error value."""
     detail = f"{type(error).__name__}: {str(error)[:200]}"
     return ExchangeError(detail, Reach.MAY_HAVE_ARRIVED)
 
@@ -152,12 +152,12 @@
     """
     Sends requests to one server.
 
-    Keeps one idle connection for each thread that made an idempotent call; it is closed when
-    the thread ends.
+    Keeps one idle connection per thread that made an idempotent call; the connection is closed
+    when its thread ends.
     """
 
     def __init__(self, base_url: str) -> None:
-        """Take a URL like http://IP:port; raises ValueError on any other."""
+        """Accept a URL of the form http://IP:port; raise ValueError for any other."""
         parts = urllib.parse.urlsplit(base_url)
         if parts.scheme != "http" or not parts.hostname:
             raise ValueError(f"{base_url!r} is no URL like http://IP:port")
@@ -169,9 +169,9 @@
         self, request: Request, deadline: clock.Deadline
     ) -> expression.Result[AnswerStream, ExchangeError]:
         """
-        Send a request on a connection of its own and return its answer as it arrives.
+        Send a request on a new connection and return its response as it arrives.
 
-        The deadline holds for the whole stream.
+        The deadline applies to the whole stream.
         """
         connection = http_connection.Connection(self._host, self._port)
         opened = _open(connection, deadline)
@@ -187,11 +187,11 @@
         self, request: Request, deadline: clock.Deadline
     ) -> expression.Result[Answer, ExchangeError]:
         """
-        Send a request that must not be sent twice, on a connection of its own.
+        Send a request that is not idempotent, on a new connection.
 
-        A server may close a kept connection at any time. A request that meets this fails without
-        telling whether it arrived, and sending it again could run it twice; a new connection
-        either opens, or fails before the request is sent.
+        A server may close an idle connection at any time. A request sent on it at that moment
+        fails without showing whether it arrived, and a repeat could run it twice. A new
+        connection either opens or fails before the request is sent.
         """
         opened = self.open_stream(request, deadline)
         if opened.is_error():
@@ -202,7 +202,7 @@
     def call_idempotent(
         self, request: Request, deadline: clock.Deadline
     ) -> expression.Result[Answer, ExchangeError]:
-        """Send a request on a kept connection; where the peer had closed it, on a new one."""
+        """Send a request on the idle connection, and again on a new one if that was closed."""
         connection = self._take_connection()
         was_idle = connection.is_open
         if was_idle:
--- a/libs/base/oleander_base/http_pool.py
+++ b/libs/base/oleander_base/http_pool.py
@@ -1,4 +1,4 @@
-"""HTTP requests to many servers on kept connections, with the whole answer or a failure."""
+"""A pool of persistent HTTP connections to many servers."""
 
 import collections.abc
 import dataclasses
@@ -12,17 +12,18 @@
 MAX_BODY_BYTES = http_exchange.MAX_BODY_BYTES
 _MAX_ADDRESSES = 4096
 _MAX_IDLE_PER_ADDRESS = 36
-"""Idle connections kept for each address: what a runner may have in flight at one server, so that
-the connections of a step are there for the next."""
+"""As many requests as a batch runner may have in flight at one server, so that the connections
+of one training step are reused by the next."""
 _DEFAULT_IDLE_SECONDS = 20.0
-"""Used where a server does not state its own idle timeout."""
+"""Applies if a server does not send its own idle timeout in a Keep-Alive header."""
 _CONNECT_SECONDS = 0.7
-"""A connection opens within some round trips or, if its opening packet was dropped, a second."""
+"""Without packet loss a connection opens within a few round trips; a lost SYN packet is sent again
+only after a second."""
 _PROBE_SECONDS = 0.1
-"""A process that has ended refuses a connection within a round trip."""
+"""The host of an ended process refuses a connection within a round trip."""
 _FAILURES = (OSError, http.client.HTTPException, ValueError)
 _PEER_CLOSED_ERRORS = (ConnectionError, http.client.IncompleteRead)
-"""Failures by which the peer, not a timeout, ended an exchange."""
+"""Errors that mean that the server closed the connection, as opposed to a timeout."""
 _HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length"}
 )
@@ -38,22 +39,23 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes = b""
     may_reuse: bool = True
-    """Whether a kept connection will do; one that the server has just closed tells nothing of
-    what became of the request."""
+    """Whether an idle connection may be used. If the server has just closed it, the error does not
+    show whether the request was executed."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class WholeAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
     is_framed: bool
-    """Whether its length was stated; else it ended with the connection, without a reset."""
+    """Whether the body had a stated length or was chunked; otherwise the close of the connection,
+    without a reset, ended it."""
 
     def find_header(self, name: str) -> str:
-        """Return a header, or an empty text."""
+        """Return the value of a header (case-insensitive), or an empty string."""
         return _find_header(self.headers, name)
 
 
@@ -65,9 +67,10 @@
 
 class ConnectionPool:
     """
-    Keeps idle connections for each address; safe to use from several threads.
+    Keeps idle connections per address; thread-safe.
 
-    At most 36 for each of 4096 addresses are kept; past that a connection is closed after use.
+    At most 36 connections for each of 4096 addresses are kept; any further one is closed after
+    use.
     """
 
     def __init__(self) -> None:
@@ -77,7 +80,7 @@
 
     @property
     def opened_count(self) -> int:
-        """How many connections were opened."""
+        """The number of connections opened since the pool was created."""
         return self._opened_count
 
     def open(
@@ -86,7 +89,7 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
     ) -> expression.Result["PooledAnswer", http_exchange.ExchangeError]:
-        """Send a request and return its answer once the head is there."""
+        """Send a request and return its response once the head has been received."""
         reused = self._take_idle(request.address) if request.may_reuse else None
         if reused is not None:
             answered = self._send(reused, request, deadline, is_cancelled)
@@ -107,7 +110,7 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
     ) -> expression.Result[WholeAnswer, http_exchange.ExchangeError]:
-        """Send a request and return its whole answer."""
+        """Send a request and return its complete response."""
         opened = self.open(request, deadline, is_cancelled)
         if opened.is_error():
             return expression.Error(opened.error)
@@ -116,7 +119,11 @@
     def release(
         self, address: str, connection: http_connection.Connection, seconds: float
     ) -> None:
-        """Take back a connection whose answer was read to its end."""
+        """
+        Return a connection to the pool, to stay idle for at most `seconds`.
+
+        Its last response must have been read to the end.
+        """
         with self._lock:
             idle = self._idle.setdefault(address, [])
             if len(idle) < _MAX_IDLE_PER_ADDRESS and len(self._idle) <= _MAX_ADDRESSES:
@@ -125,21 +132,21 @@
         connection.close()
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to a server that is gone."""
+        """Close the idle connections to a server that has ended."""
         with self._lock:
             idle = self._idle.pop(address, [])
         for item in idle:
             item.connection.close()
 
     def describe_error(self, address: str, error: Exception) -> http_exchange.ExchangeError:
-        """Return a failure as a value; where the peer broke off, with whether it has ended."""
+        """Convert an exception to an error value; probe whether a server that closed has ended."""
         described = http_exchange.describe_failure(error)
         if not isinstance(error, _PEER_CLOSED_ERRORS):
             return described
         return dataclasses.replace(described, peer_ended=self._is_connection_refused(address))
 
     def _is_connection_refused(self, address: str) -> bool:
-        """Tell whether nothing listens at an address; a connection that opens is kept."""
+        """Tell whether nothing listens at an address; a connection that opens joins the pool."""
         opened = self._connect(address, clock.start_deadline(_PROBE_SECONDS))
         if opened.is_error():
             return opened.error.reach is http_exchange.Reach.REFUSED
@@ -200,7 +207,7 @@
 
 
 class PooledAnswer:
-    """An answer being received; one thread reads it."""
+    """A response being received; not thread-safe."""
 
     def __init__(
         self,
@@ -220,20 +227,20 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status code."""
         return self._response.status
 
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """The headers that concern the request rather than the connection."""
+        """The end-to-end headers; hop-by-hop headers are left out."""
         return tuple(item for item in self._headers if item[0].lower() not in _HOP_BY_HOP_HEADERS)
 
     def find_header(self, name: str) -> str:
-        """Return a header, or an empty text."""
+        """Return the value of a header (case-insensitive), or an empty string."""
         return _find_header(self._headers, name)
 
     def read_line(self) -> expression.Result[bytes, http_exchange.ExchangeError]:
-        """Return the next line with its end, or nothing at the end of a whole answer."""
+        """Return the next line with its newline, or empty bytes at the end of the body."""
         try:
             while b"\n" not in self._buffer:
                 chunk = self._read_chunk()
@@ -250,7 +257,7 @@
         return expression.Ok(line + end)
 
     def read_whole(self) -> expression.Result[WholeAnswer, http_exchange.ExchangeError]:
-        """Return the whole answer; one that is cut is an error."""
+        """Return the complete response; a truncated one is an error."""
         body = bytearray()
         try:
             while chunk := self._read_chunk():
@@ -265,17 +272,17 @@
         return expression.Ok(answer)
 
     def close(self) -> None:
-        """Close the connection; a server that still works on the request stops."""
+        """Close the connection, which makes the server stop work on an unfinished request."""
         self._response.close()
         self._connection.close()
 
     def _read_chunk(self) -> bytes:
         """
-        Return what has arrived of the body, or nothing at its end; raises where it was cut.
+        Return received bytes of the body, or none at its end; raise if it was truncated.
 
-        Of http.client only `read1` tells a cut chunked body from a whole one: `readline` and
-        `peek` swallow the error, and a stream that was cut would pass for whole. A body of a
-        stated length ends without an error, so what is left of it is looked at.
+        In http.client only `read1` raises an error for a truncated chunked body: `readline` and
+        `peek` swallow it, so that a truncated stream would look complete. A truncated body of
+        stated length raises no error at all, so the remaining length is checked.
         """
         chunk = self._response.read1(http_exchange.CHUNK_BYTES)
         if not chunk and self._response.length:
@@ -299,7 +306,12 @@
 
 
 def _read_idle_seconds(response: http.client.HTTPResponse) -> float:
-    """Return how long the connection may idle: half a second less than the server says."""
+    """
+    Return how many seconds the connection may be idle.
+
+    This is half a second less than the server states, so that it is not reused while the server
+    closes it.
+    """
     if response.will_close:
         return 0.0
     stated = (response.getheader("Keep-Alive") or "").replace(" ", "")
@@ -313,7 +325,11 @@
 def _merge_failures(
     reused: http_connection.Connection | None, error: http_exchange.ExchangeError
 ) -> http_exchange.ExchangeError:
-    """Return why no second connection opened, and that the first may have carried the request."""
+    """
+    Return the error of a new connection, adjusted for an attempt on an idle one before it.
+
+    The server may have received the request on the idle connection.
+    """
     if reused is None:
         return error
     has_ended = error.reach is http_exchange.Reach.REFUSED
@@ -322,5 +338,5 @@
 
 
 def _is_stale_connection(error: Exception) -> bool:
-    """Tell whether a kept connection had been closed before the request could be read."""
+    """Tell whether an error may mean that the server had already closed an idle connection."""
     return isinstance(error, ConnectionError)
--- a/libs/base/oleander_base/identifiers.py
+++ b/libs/base/oleander_base/identifiers.py
@@ -1,4 +1,4 @@
-"""Random names that no two processes share."""
+"""Random identifiers and stable hashes."""
 
 import hashlib
 import secrets
@@ -7,12 +7,12 @@
 
 
 def create_incarnation() -> str:
-    """Return the name of one run of a process; a restart gets another."""
+    """Return a random identifier of one run of a process; a restart gets a new one."""
     return secrets.token_hex(_IDENTIFIER_BYTES)
 
 
 def create_nonce() -> str:
-    """Return a name that is used once."""
+    """Return a random identifier for a single use."""
     return secrets.token_hex(_IDENTIFIER_BYTES)
 
 
@@ -22,5 +22,5 @@
 
 
 def digest_body(body: bytes) -> str:
-    """Return a short digest that tells two request bodies apart."""
+    """Return a 128-bit digest in hexadecimal, to compare request bodies."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
--- a/libs/base/oleander_base/invariants.py
+++ b/libs/base/oleander_base/invariants.py
@@ -1,14 +1,14 @@
-"""Checks that stay on in production: a broken one is counted, logged and raised."""
+"""Assertions that are also active in production; a failure is counted, logged and raised."""
 
 from oleander_base import log, metrics
 
 
 class InvariantError(Exception):
-    """A promise would have been broken; the operation that found it must not go on."""
+    """An invariant does not hold; the operation that detected it must be aborted."""
 
 
 def require(condition: bool, name: str, detail: str) -> None:
-    """Raise when a condition that must always hold does not."""
+    """Count, log and raise InvariantError unless the condition holds."""
     if condition:
         return
     metrics.count(metrics.INVARIANT_BROKEN)
--- a/libs/base/oleander_base/json_input.py
+++ b/libs/base/oleander_base/json_input.py
@@ -1,4 +1,4 @@
-"""JSON objects from outside: every field is checked, faults are collected with their places."""
+"""Validation of JSON objects from other systems; errors are collected with their locations."""
 
 import base64
 import json
@@ -13,16 +13,16 @@
 
 class ObjectReader:
     """
-    Takes typed fields out of a JSON object.
+    Reads typed fields of a JSON object.
 
-    A field that is missing or of another type is noted and read as an empty value, so that one
-    pass finds all faults; use the values only where `found` is empty.
+    A field that is missing or has another type is recorded as a finding and read as an empty
+    value, so that one pass finds all errors. The values are valid only if `found` is empty.
     """
 
     def __init__(
         self, place: str, content: typing.Any, found: list[findings.Finding] | None = None
     ) -> None:
-        """Read a parsed value; readers of one input may share their findings."""
+        """Read a parsed value; pass `found` to add to the findings of another reader."""
         self._place = place
         self._found = [] if found is None else found
         self._content: dict[str, typing.Any] = {}
@@ -33,20 +33,20 @@
 
     @property
     def found(self) -> findings.Findings:
-        """The faults so far."""
+        """The findings so far, at most ten."""
         return findings.Findings(tuple(self._found[:_MAX_REPORTED]))
 
     @property
     def is_valid(self) -> bool:
-        """Whether there are no faults so far."""
+        """Whether there are no findings so far."""
         return not self._found
 
     def has_field(self, name: str) -> bool:
-        """Tell whether a field is there and not null."""
+        """Tell whether a field is present and not null."""
         return self._content.get(name) is not None
 
     def take_count(self, name: str) -> int:
-        """Return a whole number that is not negative."""
+        """Return a non-negative integer; 0 and a finding for anything else."""
         value = self._content.get(name)
         if type(value) is int and value >= 0:
             return value
@@ -54,13 +54,13 @@
         return 0
 
     def take_optional_count(self, name: str) -> int | None:
-        """Return a whole number that is not negative, or nothing where it is null or missing."""
+        """Return a non-negative integer, or None if the field is null or missing."""
         if self._content.get(name) is None:
             return None
         return self.take_count(name)
 
     def take_optional_number(self, name: str) -> float | None:
-        """Return a number that is not negative, or nothing where it is null or missing."""
+        """Return a non-negative number, or None if the field is null or missing."""
         value = self._content.get(name)
         if value is None:
             return None
@@ -71,10 +71,10 @@
 
     def take_text(self, name: str) -> str:
         """
-        Return a text.
+        Return a string without surrogates.
 
-        JSON can escape half of a surrogate pair; such a text can't be encoded again, so that
-        sending it on would raise far from here.
+        JSON can escape half of a surrogate pair. Such a string can't be encoded as UTF-8, so it
+        would raise an error later, where it is sent on.
         """
         value = self._content.get(name)
         if isinstance(value, str) and not _SURROGATE.search(value):
@@ -83,13 +83,13 @@
         return ""
 
     def take_optional_text(self, name: str) -> str:
-        """Return a text, or an empty one where it is null or missing."""
+        """Return a string, empty if the field is null or missing."""
         if self._content.get(name) is None:
             return ""
         return self.take_text(name)
 
     def take_texts(self, name: str) -> tuple[str, ...]:
-        """Return a list of texts; a fault names no value, which may be a secret."""
+        """Return a list of strings; a finding omits the value, which may be a secret."""
         value = self._content.get(name)
         if isinstance(value, list) and all(
             isinstance(item, str) and not _SURROGATE.search(item) for item in value
@@ -99,7 +99,7 @@
         return ()
 
     def take_base64(self, name: str) -> bytes:
-        """Return the bytes that a text encodes."""
+        """Return the decoded bytes of a base64 string."""
         try:
             return base64.b64decode(self.take_text(name), validate=True)
         except ValueError:
@@ -107,7 +107,7 @@
             return b""
 
     def take_flag(self, name: str) -> bool:
-        """Return true or false; a missing field is false."""
+        """Return a boolean; false if the field is missing."""
         value = self._content.get(name, False)
         if isinstance(value, bool):
             return value
@@ -115,7 +115,7 @@
         return False
 
     def take_object_or_empty(self, name: str) -> dict[str, typing.Any]:
-        """Return an object as it is; anything else is read as an empty one, and is no fault."""
+        """Return an object unchecked; any other value gives an empty one without a finding."""
         value = self._content.get(name)
         return value if isinstance(value, dict) else {}
 
@@ -125,11 +125,11 @@
         return ObjectReader(f"{self._place}.{name}", value, self._found)
 
     def take_optional_objects(self, name: str) -> list["ObjectReader"]:
-        """Return a reader for each object of a list, none where it is null or missing."""
+        """Return a reader per object of a list; none if the field is null or missing."""
         return [] if self._content.get(name) is None else self.take_objects(name)
 
     def take_objects(self, name: str) -> list["ObjectReader"]:
-        """Return a reader for each object of a list."""
+        """Return a reader per object of a list."""
         value = self._content.get(name)
         if not isinstance(value, list):
             self.reject(name, "is no list")
@@ -141,12 +141,12 @@
         ]
 
     def reject(self, name: str, problem: str) -> None:
-        """Note a fault of a field."""
+        """Record a finding about a field."""
         self._found.append(findings.Finding(f"{self._place}.{name}", problem))
 
 
 def read_object(place: str, body: bytes) -> ObjectReader:
-    """Parse a body that should be one JSON object."""
+    """Parse a body as a JSON object; a syntax error becomes a finding of the reader."""
     try:
         content = json.loads(body)
     except (ValueError, RecursionError) as error:
--- a/libs/base/oleander_base/log.py
+++ b/libs/base/oleander_base/log.py
@@ -1,4 +1,4 @@
-"""One log for the whole process: one line an event, bounded under failure."""
+"""The log of the process: one line per event, rate-limited for recurring failures."""
 
 import json
 import logging
@@ -17,19 +17,19 @@
 _REPEAT_INTERVAL_SECONDS = 10.0
 _MAX_TRACKED_EVENTS = 1000
 _MAX_PENDING_LINES = 2000
-"""Lines that wait to be written; past this further ones are dropped and counted."""
+"""Lines queued for writing; further lines are dropped and counted."""
 _MAX_TRACEBACK_CHARACTERS = 2000
 
 
 class _RepeatLimiter:
-    """Lets one line an event through in a while; bounded, oldest events are forgotten."""
+    """Admits each event at most once in ten seconds; the oldest of 1000 events is evicted."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._next_at: dict[str, float] = {}
 
     def try_acquire(self, event: str) -> bool:
-        """Tell whether this event may be logged now."""
+        """Return whether the event may be logged now, and if so block it for the interval."""
         now = clock.read_now()
         with self._lock:
             if self._next_at.get(event, 0.0) > now:
@@ -44,15 +44,15 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Sends what libraries log to ours, one bounded line each, without tracebacks."""
+    """Forwards log records of libraries as rate-limited single lines without tracebacks."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log the first line of a library's message."""
+        """Log the first line of the message, up to 200 characters, as a warning."""
         warn_bounded(f"library-{record.name}", record.getMessage().splitlines()[0][:200])
 
 
 def configure_log(level: str, as_json: bool, process: str) -> None:
-    """Send lines to standard error, as text or as JSON, and take in the libraries' logs."""
+    """Log to standard error, as text or JSON, and include warnings of libraries."""
     logger.remove()
     logger.configure(extra={"process": process})
     if as_json:
@@ -63,7 +63,7 @@
 
 
 def configure_stdout_log(level: str, process: str) -> None:
-    """Send lines to standard output, one JSON object each, and take in the libraries' logs."""
+    """Log to standard output, one JSON object per line, and include warnings of libraries."""
     logger.remove()
     logger.configure(extra={"process": process})
     logger.add(_LineWriter(process).enqueue, level=level, format="{message}", backtrace=False)
@@ -72,10 +72,10 @@
 
 class _LineWriter:
     """
-    Writes lines on a thread of its own; at most 2000 wait, further ones are counted and dropped.
+    Writes lines on its own thread; at most 2000 are queued, further ones are dropped and counted.
 
-    Whoever reads standard output may stop reading. A process that wrote its lines itself would
-    stop with it, in the middle of a request and with locks held.
+    The reader of standard output may stop reading. If the logging threads wrote to it themselves,
+    they would block in the middle of a request and with locks held.
     """
 
     def __init__(self, process: str) -> None:
@@ -85,7 +85,7 @@
         threading.Thread(target=self._write, name="log", daemon=True).start()
 
     def enqueue(self, message: "loguru.Message") -> None:
-        """Take in a line, or count it as dropped."""
+        """Queue a line, or count it as dropped if the queue is full."""
         if self._pending.qsize() >= _MAX_PENDING_LINES:
             self._dropped_count += 1
             return
@@ -127,6 +127,6 @@
 
 
 def warn_bounded(event: str, message: str, **fields: typing.Any) -> None:
-    """Log a warning that may recur many times a second: one line an event in a while."""
+    """Log a warning that may recur many times a second, at most once in ten seconds per event."""
     if _limiter.try_acquire(event):
         logger.bind(event=event, **fields).warning(message)
--- a/libs/base/oleander_base/metrics.py
+++ b/libs/base/oleander_base/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers, named in one table, sent by statsd and kept for reports."""
+"""Counters, gauges and timers, declared in one table, sent to statsd and kept for reports."""
 
 import bisect
 import collections
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Metric:
-    """A named measurement and what to do when it moves."""
+    """A metric and what the operator should do when it changes."""
 
     name: str
     kind: str
@@ -43,7 +43,7 @@
     "counter",
     "count",
     "Requests refused as not run.",
-    "Compare with load; add backend servers or lower a share.",
+    "Compare with the load; add backend servers or lower a share.",
 )
 UNKNOWN = _declare(
     "requests.unknown",
@@ -70,14 +70,14 @@
     "servers.ended",
     "counter",
     "count",
-    "Attempts that a backend server broke off by ending.",
-    "Group the log lines of event attempt by request: one that recurs ends its servers.",
+    "Attempts that failed because the backend server ended.",
+    "Group the log lines of event attempt by request: a request that recurs ends its servers.",
 )
 CRASHES = _declare(
     "crashes.recorded",
     "counter",
     "count",
-    "Backend servers that ended under a request that had not been answered before.",
+    "Backend servers that ended while they ran a request that had never been answered.",
     "See the log lines of event crash: they name the request and the server.",
 )
 LOAD_CRASHES = _declare(
@@ -91,8 +91,8 @@
     "requests.quarantined",
     "counter",
     "count",
-    "Requests kept from backend servers because servers ended under them.",
-    "Find the request by its digest in the log lines of event crash, and whoever sends it.",
+    "Requests no longer sent to backend servers, as servers ended while they ran them.",
+    "Find the request by its digest in the log lines of event crash, and its sender.",
 )
 LOG_FAILED_CALLS = _declare(
     "log.failed_calls",
@@ -108,11 +108,11 @@
     "samples.stale",
     "counter",
     "count",
-    "Samples dropped as older than the bound.",
+    "Samples dropped because their weights were older than the staleness bound.",
     "Shorten steps or raise the bound in the contract.",
 )
 SAMPLES_REMADE = _declare(
-    "samples.remade", "counter", "count", "Samples generated anew.", "As for samples.stale."
+    "samples.remade", "counter", "count", "Samples generated again.", "As for samples.stale."
 )
 QUEUE_DEPTH = _declare(
     "queue.depth", "gauge", "requests", "Requests waiting at a sidecar.", "Add servers."
@@ -133,7 +133,7 @@
     "Compare p99 with the timeouts of the contracts.",
 )
 SAMPLES_RUNNING = _declare(
-    "samples.running", "gauge", "samples", "Samples that an entry has in the making.", "None."
+    "samples.running", "gauge", "samples", "Samples that an entry has in flight.", "None."
 )
 CONFIGURATION_OFFSET = _declare(
     "configuration.offset",
@@ -146,7 +146,7 @@
     "weights.version",
     "gauge",
     "version",
-    "The version that the engine confirmed; -1 in doubt.",
+    "The weight version that the engine confirmed; -1 if unknown.",
     "An engine that stays at -1 or behind gets no work: see the orders in the audit trail.",
 )
 
@@ -158,13 +158,13 @@
     "counter",
     "count",
     "Attempts that an engine refused as not run.",
-    "A steady rise: engines are full or load weights all the time.",
+    "A steady rise means that engines are full or constantly load weights.",
 )
 ITEMS_BROKEN = _declare(
     "items.broken",
     "counter",
     "count",
-    "Attempts that broke off or failed.",
+    "Attempts that were interrupted or failed.",
     "Look for the engine in the log lines of event item.",
 )
 ITEM_MS = _declare(
@@ -183,27 +183,27 @@
     "orders.held",
     "gauge",
     "partitions",
-    "Partitions of backend servers that this process may order.",
-    "Over all processes the sum is the number of partitions; less for long: nobody claims.",
+    "Partitions of backend servers to which this process may give load orders.",
+    "Over all processes the sum is the number of partitions; if lower for long, some are unowned.",
 )
 USAGE_REPORTS = _declare(
     "usage.reports",
     "counter",
     "count",
-    "Reports of use that were sent, repeats among them.",
-    "Over all processes one for each window; none for long: nobody holds the lease.",
+    "Usage reports sent, including repeated ones.",
+    "One per window over all processes; if there are none for long, no process holds the lease.",
 )
 LOG_CALL_MS = _declare(
     "log.ms", "timer", "ms", "How long a call to the platform's log took.", "As log.failed_calls."
 )
 
 BUCKETS_MS = (5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000)
-"""Upper bounds of the histograms' buckets."""
+"""Upper bounds of the histogram buckets, in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class Histogram:
-    """How often a time fell into each bucket; the last one has no bound."""
+    """The number of durations per bucket; the last bucket has no upper bound."""
 
     counts: list[int] = dataclasses.field(default_factory=lambda: [0] * (len(BUCKETS_MS) + 1))
     total_ms: float = 0.0
@@ -231,7 +231,7 @@
 
 
 def count_invariant(name: str) -> None:
-    """Count one broken invariant under its own name."""
+    """Count a failed invariant in the counter of its name."""
     count(f"invariant.broken.{name}")
 
 
@@ -254,13 +254,13 @@
 
 
 def read_counts() -> dict[str, int]:
-    """Return every counter of this process by name."""
+    """Return all counters of this process by name."""
     with _lock:
         return dict(_counts)
 
 
 def read_gauges() -> dict[str, float]:
-    """Return every gauge of this process by name."""
+    """Return all gauges of this process by name."""
     with _lock:
         return dict(_gauges)
 
@@ -274,5 +274,5 @@
 
 
 def list_metrics() -> list[Metric]:
-    """Return the table of metrics, for the page that describes them."""
+    """Return all declared metrics, for the generated page that documents them."""
     return list(_METRICS)
--- a/libs/base/oleander_base/tasks.py
+++ b/libs/base/oleander_base/tasks.py
@@ -1,4 +1,4 @@
-"""Long-running tasks on concurrent.futures that all end on stop."""
+"""Groups of long-running tasks on threads, which are stopped together."""
 
 import collections.abc
 import concurrent.futures
@@ -10,7 +10,7 @@
 
 
 class TaskGroup:
-    """Runs a bounded number of tasks; `stop` tells them all, `join` waits for them."""
+    """Runs at most `max_tasks` tasks; `stop` asks all of them to end, `join` waits for that."""
 
     def __init__(self, name: str, max_tasks: int) -> None:
         self._name = name
@@ -21,11 +21,11 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether tasks should end."""
+        """Whether `stop` was called, so that tasks should return."""
         return self._stopping.is_set()
 
     def start(self, task: collections.abc.Callable[[], None]) -> concurrent.futures.Future[None]:
-        """Run a task on its own thread; what it raises is logged, never lost."""
+        """Run a task on a thread; an exception is logged and stored in the future."""
         future = self._pool.submit(self._run, task)
         with self._lock:
             self._futures.add(future)
@@ -36,23 +36,23 @@
         self, task: collections.abc.Callable[[], None]
     ) -> concurrent.futures.Future[None]:
         """
-        Run a task that is meant to last as long as the group, and run it anew if it fails.
+        Run a task that lasts as long as the group, and restart it after an exception.
 
-        Without this an unexpected error would end, say, the task that keeps one link open; the
-        process would look healthy and never use that sidecar again.
+        Otherwise an unexpected error could end, for instance, the task that keeps a link open:
+        the process would look healthy and never use that sidecar again.
         """
         return self.start(lambda: self._run_with_restarts(task))
 
     def pause(self, seconds: float) -> bool:
-        """Wait; return False as soon as the group is stopping."""
+        """Wait for `seconds`; return False at once when the group is stopped, else True."""
         return not self._stopping.wait(seconds)
 
     def stop(self) -> None:
-        """Tell every task to end."""
+        """Ask every task to end."""
         self._stopping.set()
 
     def join(self, deadline: clock.Deadline) -> bool:
-        """Wait for the tasks to end; return whether all did."""
+        """Wait until the deadline for the tasks to end; return whether all did."""
         with self._lock:
             futures = set(self._futures)
         _, running = concurrent.futures.wait(futures, timeout=deadline.remaining)
@@ -65,7 +65,9 @@
                 task()
                 return
             except Exception:
-                log.logger.bind(event="task-failed", group=self._name).exception("running it anew")
+                log.logger.bind(event="task-failed", group=self._name).exception(
+                    "a task failed and is restarted"
+                )
                 self.pause(_RESTART_DELAY_SECONDS)
 
     def _run(self, task: collections.abc.Callable[[], None]) -> None:
