--- a/libs/contracts/oleander_contracts/__init__.py
+++ b/libs/contracts/oleander_contracts/__init__.py
@@ -1,4 +1,4 @@
-"""Contracts: what each customer was promised, and which of them is in force."""
+"""Customer contracts, and the configuration stream that decides which contract is in force."""
 
 from oleander_contracts import (
     contract,
--- a/libs/contracts/oleander_contracts/contract.py
+++ b/libs/contracts/oleander_contracts/contract.py
@@ -1,11 +1,11 @@
-"""The terms between an operator and one customer."""
+"""The contract of one customer: share, operations and trainers."""
 
 import dataclasses
 import enum
 
 
 class Priority(enum.IntEnum):
-    """Who goes first when a backend server is short; a lower value goes first."""
+    """The order in which a busy backend server runs requests; lower values run first."""
 
     CRITICAL = 0
     INTERACTIVE = 1
@@ -14,7 +14,7 @@
 
 
 class Objective(enum.Enum):
-    """What a trainer's customer weighs more when the two conflict."""
+    """Whether a trainer prefers fresher samples or less idle time where both conflict."""
 
     STALENESS = "staleness"
     IDLE_TIME = "idle-time"
@@ -22,52 +22,52 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Operation:
-    """One kind of request that a customer may send."""
+    """A type of request that a customer may send."""
 
     name: str
     backend: str
-    """The group of backend servers that runs it, as the host list names it."""
+    """The group of backend servers that runs it, by its name in the host list."""
     priority: Priority
     repeatable: bool
-    """Whether running it twice does no harm; if not, it runs at most once."""
+    """Whether it may be run more than once; if not, it runs at most once."""
     timeout_ms: int
-    """An answer after this many milliseconds is late."""
+    """An answer that takes longer counts as late."""
     worth: int
-    """The weight of one answered request in the customer's service figure."""
+    """The weight of one answered request in the customer's service percentage."""
     generates: bool
-    """Whether a model engine streams the answer."""
+    """Whether the backend is a model engine that streams generated tokens."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TrainerTerms:
-    """What one trainer of a customer is promised."""
+    """The contract terms of one trainer of a customer."""
 
     name: str
     backend: str
     model: str
     staleness_bound: int
-    """How many weight versions behind the trainer a sample may be when delivered."""
+    """The most weight versions that a delivered sample may be behind the trainer."""
     objective: Objective
     hedge_percent: int
-    """How much extra generation, in percent of the step, stragglers may cost."""
+    """The most additional generation for stragglers, in percent of a step's expected tokens."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Contract:
-    """Everything that one customer was promised."""
+    """All contract terms of one customer."""
 
     customer: str
     share_percent: int
-    """The part of the engines' time that is this customer's when all of it is wanted."""
+    """The customer's share of engine time when demand exceeds capacity."""
     retry_percent: int
-    """Retries allowed, in percent of fresh requests."""
+    """Retries allowed, in percent of first attempts."""
     operations: tuple[Operation, ...]
     trainers: tuple[TrainerTerms, ...]
 
     def find_operation(self, name: str) -> Operation | None:
-        """Return the operation of that name, if the customer has it."""
+        """Return the operation with a name, or None."""
         return next((item for item in self.operations if item.name == name), None)
 
     def find_trainer(self, name: str) -> TrainerTerms | None:
-        """Return the trainer of that name, if the customer has it."""
+        """Return the trainer with a name, or None."""
         return next((item for item in self.trainers if item.name == name), None)
--- a/libs/contracts/oleander_contracts/differences.py
+++ b/libs/contracts/oleander_contracts/differences.py
@@ -1,4 +1,4 @@
-"""What changes from one contract to the next, for people to read."""
+"""Differences between two versions of a contract, for display."""
 
 import dataclasses
 import typing
@@ -10,21 +10,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Difference:
-    """One field, before and after; an empty text where there was or is none."""
+    """A changed field; `before` or `after` is empty if the field did not or does not exist."""
 
     path: str
     before: str
     after: str
 
     def __str__(self) -> str:
-        """Return one line for a person."""
+        """Return the difference as one line of text."""
         return f"{self.path}: {self.before or 'none'} to {self.after or 'none'}"
 
 
 def list_differences(
     before: contract.Contract | None, after: contract.Contract
 ) -> tuple[Difference, ...]:
-    """Return what differs, field by field; operations and trainers are compared by name."""
+    """Return the changed fields; operations and trainers are matched by name."""
     old = {} if before is None else _flatten(readers.write_document(before))
     new = _flatten(readers.write_document(after))
     paths = [*new, *(path for path in old if path not in new)]
--- a/libs/contracts/oleander_contracts/fields.py
+++ b/libs/contracts/oleander_contracts/fields.py
@@ -1,4 +1,4 @@
-"""Reading the fields of a mapping: what is wrong is collected, with its place."""
+"""Validation of the fields of a mapping; errors are collected with their locations."""
 
 import collections.abc
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bounds:
-    """The least and the greatest number that a field may have."""
+    """The inclusive range of a number field."""
 
     low: int
     high: int
@@ -22,10 +22,10 @@
 
 class FieldReader:
     """
-    Reads one mapping, field by field.
+    Reads the fields of one mapping.
 
-    Every `read_` method returns a value of its type even where it found a fault, so that the
-    caller is written straight down; the value is of no use once `found` holds anything.
+    Every `read_` method adds a finding for an invalid field and still returns a value of its
+    type, so that callers need no error branches. The values are valid only if `found` is empty.
     """
 
     def __init__(self, node: nodes.Node, found: list[findings.Finding]) -> None:
@@ -41,18 +41,18 @@
             self._add_entry(entry)
 
     def find_place(self, name: str) -> str:
-        """Return where a field stands, for a finding about its value."""
+        """Return the location of a field, for a finding about its value."""
         if name in self._entries:
             return self._entries[name].node.place
         return self._node.describe_field(name)
 
     def read_integer(self, name: str, bounds: Bounds, default: int | None = None) -> int:
-        """Return a whole number within bounds."""
+        """Return an integer within bounds; a field without a default is required."""
         node = self._find_node(name, default is None)
         if node is None:
             return default or 0
         value = node.read_scalar()
-        # A bool is an int to Python, and no number to a reader.
+        # bool is a subclass of int, but true and false are not valid numbers.
         if not isinstance(value, int) or isinstance(value, bool):
             self._add_finding(node, f"is no whole number: {_format_value(value)}")
             return 0
@@ -61,7 +61,7 @@
         return value
 
     def read_boolean(self, name: str, fix: str = "", default: bool | None = None) -> bool:
-        """Return true or false."""
+        """Return a boolean; a field without a default is required."""
         node = self._find_node(name, default is None, fix)
         if node is None:
             return default or False
@@ -72,7 +72,7 @@
         return False
 
     def read_name(self, name: str, fix: str = "") -> str:
-        """Return a name."""
+        """Return a required name (see `names`)."""
         node = self._find_node(name, True, fix)
         if node is None:
             return ""
@@ -83,7 +83,7 @@
         return ""
 
     def read_text(self, name: str, max_length: int, default: str | None = None) -> str:
-        """Return a text of printable letters."""
+        """Return a printable string of bounded length; a field without a default is required."""
         node = self._find_node(name, default is None)
         if node is None:
             return default or ""
@@ -96,7 +96,7 @@
         return ""
 
     def read_choice(self, name: str, choices: collections.abc.Mapping[str, _Choice]) -> _Choice:
-        """Return what one of a few words stands for."""
+        """Return the value of the chosen word; the first choice if it is invalid."""
         first = next(iter(choices.values()))
         node = self._find_node(name, True)
         if node is None:
@@ -108,7 +108,7 @@
         return first
 
     def read_items(self, name: str, max_items: int, required: bool) -> tuple[nodes.Node, ...]:
-        """Return the items of a list."""
+        """Return the items of a list, at most `max_items`."""
         node = self._find_node(name, required)
         if node is None:
             return ()
@@ -121,15 +121,16 @@
         return items[:max_items]
 
     def read_node(self, name: str) -> nodes.Node | None:
-        """Return a field as a node, for a reader of its own."""
+        """Return a required field as a node, to be read by another reader."""
         return self._find_node(name, True)
 
     def report_unknown(self) -> None:
         """
-        Report every field that was never asked for; call it last.
+        Add a finding for every field that no `read_` method asked for; call it last.
 
-        In what a program wrote they are ignored: a record with a field of a later release must get
-        the same verdict from processes of both releases, or they would differ in what is in force.
+        Unknown fields are ignored in documents that a program wrote: a record with a field of a
+        later release must get the same verdict from processes of both releases, or they would
+        have different contracts in force.
         """
         if not self._node.is_handwritten:
             return
--- a/libs/contracts/oleander_contracts/fold.py
+++ b/libs/contracts/oleander_contracts/fold.py
@@ -1,8 +1,8 @@
 """
-The configuration stream, folded into what is in force.
+Replays the configuration stream into the configuration in force.
 
-Every process folds the same records by the same rules, so the log's order alone decides a race,
-and records may come from the log or from a peer, in pieces and more than once.
+Every process applies the same records by the same rules, so the order of the log alone decides
+between concurrent changes. Records may come from the log or from a peer, in parts and repeatedly.
 """
 
 import dataclasses
@@ -25,31 +25,31 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class GapError:
-    """A record came too early: the records between are missing."""
+    """A record can't be applied because records before it are missing."""
 
     expected_offset: int
-    """The record to fetch first."""
+    """The offset of the first missing record."""
     offset: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TooOldError:
-    """The records that a peer asks for are no longer kept; it gets a snapshot instead."""
+    """The records that a peer asks for are no longer kept; send a snapshot instead."""
 
     oldest_offset: int
 
 
 class ConfigurationFold:
     """
-    What is in force, as far as the records were applied; thread-safe.
+    The configuration in force after the records applied so far; thread-safe.
 
-    The newest records are kept for peers, bounded in number and bytes; the oldest make room. What
-    is in force is bounded too, see `state`. Nothing here ever goes backwards: neither the applied
-    offset nor the offset of anything in force.
+    The newest records are kept for peers, bounded in number and bytes; the oldest are evicted.
+    The configuration in force is bounded as well (see `state`). Neither the applied offset nor
+    the offset of any item in force ever decreases.
 
-    Where the log has deleted records that were not applied, later ones are held (within the same
-    bound) until a snapshot covers those that are gone; until then `needs_snapshot` is true, and
-    what was in force before stays so.
+    If the log has deleted records before they were applied, later records are deferred (within
+    the same bounds) until a snapshot covers the deleted ones. Until then `needs_snapshot` is
+    true, and the configuration stays as it was.
     """
 
     def __init__(
@@ -68,25 +68,25 @@
 
     @property
     def applied_offset(self) -> int:
-        """The newest record that was applied; -1 before the first."""
+        """The offset of the newest applied record; -1 before the first."""
         with self._lock:
             return self._applied_offset
 
     @property
     def next_offset(self) -> int:
-        """The record that the log should be read from next."""
+        """The offset from which to read the log next."""
         with self._lock:
             return self._read_next_offset()
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether records are missing that only a snapshot can make up for."""
+        """Whether records were deleted before they were applied, so that a snapshot is needed."""
         with self._lock:
             return self._deferred is not None
 
     @property
     def snapshot_offset(self) -> int:
-        """The newest snapshot record seen in the log; -1 if none was."""
+        """The offset of the newest snapshot record seen in the log; -1 if there was none."""
         with self._lock:
             return self._snapshot_offset
 
@@ -94,9 +94,10 @@
         self, offset: int, logged_at_ms: int, value: dict[str, typing.Any]
     ) -> expression.Result[in_force.Verdict, GapError]:
         """
-        Take in a record; one that was applied before changes nothing.
+        Apply a record, or defer it while a snapshot is needed.
 
-        A record that does not follow on what is here is refused with the offset to fetch first.
+        A record that was already applied changes nothing and gets its earlier verdict. A record
+        after a gap is rejected with the offset of the first missing record.
         """
         with self._lock:
             if offset <= self._applied_offset:
@@ -111,13 +112,13 @@
             return expression.Error(GapError(self._applied_offset + 1, offset))
 
     def record_deleted(self, first_offset: int) -> None:
-        """Take note that the log has deleted the records below an offset."""
+        """Record that the log has deleted the records below an offset."""
         with self._lock:
             if first_offset > self._read_next_offset():
                 self._deferred = self._create_window(first_offset)
 
     def install_snapshot(self, value: dict[str, typing.Any]) -> in_force.Verdict:
-        """Take over what a peer has in force, if it is ahead."""
+        """Adopt the snapshot of a peer if it covers more records than were applied here."""
         with self._lock:
             match records.read_record(value):
                 case expression.Result(tag="ok", ok=records.SnapshotRecord() as snapshot):
@@ -128,56 +129,56 @@
                     return _void(str(found))
 
     def create_snapshot(self) -> dict[str, typing.Any]:
-        """Return everything in force, to append to the log or to hand to a peer."""
+        """Return a snapshot of the configuration in force, for the log or for a peer."""
         with self._lock:
             return self._state.create_snapshot(self._applied_offset).to_value()
 
     def list_after(
         self, offset: int, max_bytes: int = MAX_PEER_BYTES
     ) -> expression.Result[tuple[windows.KeptRecord, ...], TooOldError]:
-        """Return the records that follow an offset, as many as fit, for a peer that lacks them."""
+        """Return the records after an offset: at least one, further ones within `max_bytes`."""
         with self._lock:
             if offset + 1 < self._recent.first_offset:
                 return expression.Error(TooOldError(self._recent.first_offset))
             return expression.Ok(self._recent.list_after(offset, max_bytes))
 
     def find_verdict(self, offset: int) -> in_force.Verdict | None:
-        """Return the verdict on a record, if it was applied not long ago."""
+        """Return the verdict on a recent record, or None if it is not kept or not applied."""
         with self._lock:
             kept = self._recent.find(offset)
             return None if kept is None else kept.verdict
 
     def find_contract(self, customer: str) -> contract.Contract | None:
-        """Return a customer's contract, if it has one."""
+        """Return the contract in force of a customer, or None."""
         found = self.find_in_force(customer)
         return None if found is None else found.contract
 
     def find_in_force(self, customer: str) -> in_force.ContractInForce | None:
-        """Return a customer's contract with its offset and author."""
+        """Return the contract in force of a customer with its offset and author, or None."""
         with self._lock:
             return self._state.contracts.get(customer)
 
     def list_contracts(self) -> tuple[contract.Contract, ...]:
-        """Return every contract in force, by customer."""
+        """Return every contract in force, sorted by customer."""
         return tuple(item.contract for item in self.list_in_force())
 
     def list_in_force(self) -> tuple[in_force.ContractInForce, ...]:
-        """Return every contract in force with offset and author, by customer."""
+        """Return every contract in force with its offset and author, sorted by customer."""
         with self._lock:
             return tuple(item for _, item in sorted(self._state.contracts.items()))
 
     def find_version(self, model: str) -> in_force.ModelVersion | None:
-        """Return the newest weight version of a model, if any was announced."""
+        """Return the newest weight version of a model, or None if none was announced."""
         with self._lock:
             return self._state.versions.get(model)
 
     def list_versions(self) -> tuple[in_force.ModelVersion, ...]:
-        """Return the newest weight version of every model."""
+        """Return the newest weight version of every model, sorted by model."""
         with self._lock:
             return tuple(item for _, item in sorted(self._state.versions.items()))
 
     def find_incarnation(self, customer: str, trainer: str) -> int:
-        """Return the highest incarnation of a trainer that was seen; -1 if none was."""
+        """Return the highest incarnation of a trainer seen so far; -1 if there was none."""
         with self._lock:
             run = self._state.trainers.get((customer, trainer))
             return in_force.NO_OFFSET if run is None else run.incarnation
@@ -202,8 +203,8 @@
                 verdict = self._state.fold(kept.offset, record)
                 self._record_snapshot(kept.offset, record)
             case expression.Result(error=found):
-                # Anyone with access to the log may write anything there. Raising would end every
-                # process that reads it, at each start again; a void record harms no one.
+                # Any writer to the log may append an invalid record. An exception would crash
+                # every process that reads it, on each restart; a void record has no effect.
                 verdict = _void(str(found)[:_MAX_REASON_CHARACTERS])
         self._advance_to(kept.offset)
         self._recent.add(dataclasses.replace(kept, verdict=verdict))
@@ -212,7 +213,7 @@
     def _defer(
         self, record: windows.KeptRecord, deferred: windows.RecordWindow
     ) -> expression.Result[in_force.Verdict, GapError]:
-        """Keep a record that can't be applied yet; a snapshot may end the wait."""
+        """Keep a record that can't be applied yet; if it is a snapshot, try to start from it."""
         if record.offset > deferred.next_offset:
             return expression.Error(GapError(deferred.next_offset, record.offset))
         if record.offset == deferred.next_offset:
@@ -223,7 +224,7 @@
         return expression.Ok(_ignore(_AWAITING_SNAPSHOT))
 
     def _try_snapshot(self, kept: windows.KeptRecord, first_deferred: int) -> None:
-        """Start from a snapshot if nothing is missing between it and the records held."""
+        """Install a snapshot if it covers all records before the first deferred one."""
         match records.read_record(kept.value):
             case expression.Result(tag="ok", ok=records.SnapshotRecord() as snapshot):
                 covers_gap = first_deferred - 1 <= snapshot.through < kept.offset
@@ -238,8 +239,8 @@
         after = state.ConfigurationState.from_snapshot(snapshot)
         if after.size > state.MAX_STATE_BYTES:
             return _void("holds more than can be in force")
-        # Nothing in force is ever withdrawn, so a snapshot without it was not folded from this
-        # stream; taking it would revert what was accepted.
+        # Items in force are never withdrawn. A snapshot that lacks one was not created from this
+        # stream, and installing it would revert accepted records.
         decrease = self._state.find_regression(after)
         if decrease:
             return _void(f"would take back {decrease}")
@@ -250,7 +251,7 @@
         return in_force.Verdict(in_force.Decision.ACCEPTED, "", snapshot.through, "")
 
     def _apply_deferred(self) -> None:
-        """Apply the records held that follow on; the wait ends when nothing is missing."""
+        """Apply the deferred records that now follow; clear them once no record is missing."""
         deferred = self._deferred
         if deferred is None:
             return
@@ -271,7 +272,7 @@
 
 
 def _replace_oversized(value: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """Return a value, or a stand-in for one that is too large to be anything of ours."""
+    """Return a value, or a small placeholder for one that exceeds the size of any valid record."""
     size = in_force.measure_value(value)
     return _OVERSIZED_PLACEHOLDER if size is None or size > records.MAX_RECORD_BYTES else value
 
--- a/libs/contracts/oleander_contracts/in_force.py
+++ b/libs/contracts/oleander_contracts/in_force.py
@@ -1,4 +1,4 @@
-"""What the configuration stream put in force, and the verdict on each of its records."""
+"""Items of the configuration in force, and verdicts on the records that set them."""
 
 import dataclasses
 import enum
@@ -8,40 +8,40 @@
 from oleander_contracts import contract, readers
 
 NO_OFFSET = -1
-"""Stands before the first record: nothing is in force, or nothing was applied."""
+"""The offset of "no record": nothing is in force, or no record was applied."""
 
 
 class Decision(enum.Enum):
-    """What became of a record."""
+    """The effect of a record on the configuration."""
 
     ACCEPTED = "accepted"
     VOID = "void"
     IGNORED = "ignored"
-    """It changes nothing by its nature, or it can't be judged yet."""
+    """The record is of a kind that has no effect, or can't be evaluated yet."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Verdict:
-    """What became of a record, and who holds what it was about."""
+    """The decision on a record, and the record that is in force for the same item."""
 
     decision: Decision
     reason: str
     in_force_offset: int
-    """The record in force for the same customer, model or trainer, after this one."""
+    """The offset of the record in force for the same customer, model or trainer afterwards."""
     by: str
-    """Who wrote the record in force."""
+    """The author of the record in force."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ContractInForce:
-    """A contract in force."""
+    """A contract in force with the offset and the author of its record."""
 
     contract: contract.Contract
     offset: int
     by: str
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the form it has in a snapshot."""
+        """Return the JSON value for a snapshot."""
         document = readers.write_document(self.contract)
         return {"document": document, "offset": self.offset, "by": self.by}
 
@@ -53,18 +53,18 @@
     model: str
     version: int
     offset: int
-    """The fencing number of orders to load it."""
+    """The offset of its record, which is also the fencing number of orders to load it."""
     uri: str
     by: str
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the form it has in a snapshot."""
+        """Return the JSON value for a snapshot."""
         return dataclasses.asdict(self)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TrainerIncarnation:
-    """The newest run of a trainer."""
+    """The newest incarnation (run) of a trainer."""
 
     customer: str
     trainer: str
@@ -73,12 +73,16 @@
     by: str
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the form it has in a snapshot."""
+        """Return the JSON value for a snapshot."""
         return dataclasses.asdict(self)
 
 
 def measure_value(value: typing.Any) -> int | None:
-    """Return the bytes of a value as JSON; nothing if it is none or is nested too deep."""
+    """
+    Return the size in bytes of a value as compact JSON, or None.
+
+    None means that the value can't be encoded as JSON or is nested too deeply.
+    """
     try:
         return len(json.dumps(value, separators=(",", ":")))
     except (TypeError, ValueError, RecursionError):
--- a/libs/contracts/oleander_contracts/nodes.py
+++ b/libs/contracts/oleander_contracts/nodes.py
@@ -1,4 +1,4 @@
-"""One way to look at YAML and at JSON: nodes that know their place."""
+"""A common interface to YAML and JSON documents: nodes with their source locations."""
 
 import abc
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class UnsupportedScalar:
-    """A scalar of a type that no field has, or no scalar at all."""
+    """A scalar of an unsupported type, or a node that is not a scalar."""
 
     text: str
 
@@ -32,37 +32,37 @@
 
 class Node(abc.ABC):
     """
-    A mapping, a list or a scalar, and where it stands.
+    A mapping, a list or a scalar with its location.
 
-    Children are made when they are asked for, so neither depth nor a reference of a document to
-    itself costs anything: what no field asks for is never visited.
+    Children are created on access, so neither deep nesting nor a self-reference (YAML alias) has
+    a cost: nodes that no field asks for are never visited.
     """
 
     @property
     @abc.abstractmethod
     def place(self) -> str:
-        """Where the node stands, for a finding."""
+        """The location of the node, for a finding."""
 
     @property
     @abc.abstractmethod
     def is_handwritten(self) -> bool:
-        """Whether a person wrote it, so that a field nobody knows is a slip of the pen."""
+        """Whether a person wrote the document, so that an unknown field is probably a typo."""
 
     @abc.abstractmethod
     def describe_field(self, name: str) -> str:
-        """Return the place of a field that this mapping should have."""
+        """Return the location at which to report a field that is missing from this mapping."""
 
     @abc.abstractmethod
     def list_entries(self) -> tuple[Entry, ...] | None:
-        """Return a mapping's fields in order, also repeated ones; nothing if it is none."""
+        """Return the fields of a mapping in order, with duplicates; None for other nodes."""
 
     @abc.abstractmethod
     def list_items(self) -> tuple["Node", ...] | None:
-        """Return a list's items; nothing if it is none."""
+        """Return the items of a list; None if it is not a list."""
 
     @abc.abstractmethod
     def read_scalar(self) -> Scalar:
-        """Return the value of a scalar."""
+        """Return the value of a scalar, or UnsupportedScalar if its type is unknown."""
 
 
 def _join_path(path: str, name: str) -> str:
@@ -70,7 +70,7 @@
 
 
 class JsonNode(Node):
-    """A node of a JSON document; its place is its path."""
+    """A node of a JSON document; its location is its path, such as operations[0].name."""
 
     def __init__(self, value: typing.Any, path: str = "") -> None:
         self._value = value
@@ -78,26 +78,26 @@
 
     @property
     def place(self) -> str:
-        """The path from the document's start."""
+        """The path from the root, or "document" for the root itself."""
         return self._path or "document"
 
     @property
     def is_handwritten(self) -> bool:
-        """No: a program wrote it, and a later release may have added fields."""
+        """False: a program wrote the document, maybe one of a later release with more fields."""
         return False
 
     def describe_field(self, name: str) -> str:
-        """Return the path of a field."""
+        """Return the path that the field would have."""
         return _join_path(self._path, name)
 
     def list_entries(self) -> tuple[Entry, ...] | None:
-        """Return the fields of an object."""
+        """Return the fields of an object; None if it is not an object."""
         if not isinstance(self._value, dict):
             return None
         return tuple(self._make_entry(str(key), value) for key, value in self._value.items())
 
     def list_items(self) -> tuple[Node, ...] | None:
-        """Return the items of an array."""
+        """Return the items of an array; None if it is not an array."""
         if not isinstance(self._value, list):
             return None
         return tuple(
@@ -105,7 +105,7 @@
         )
 
     def read_scalar(self) -> Scalar:
-        """Return the value as it is."""
+        """Return null, an integer, a boolean or a string unchanged."""
         if self._value is None or isinstance(self._value, int | bool | str):
             return self._value
         return UnsupportedScalar(type(self._value).__name__)
@@ -116,7 +116,7 @@
 
 
 class YamlNode(Node):
-    """A node of a YAML text; its place is source, line, column and path."""
+    """A node of a YAML text; its location is source, line, column and path."""
 
     def __init__(self, node: ruamel.yaml.Node, source: str, path: str = "") -> None:
         self._node = node
@@ -126,26 +126,26 @@
 
     @property
     def place(self) -> str:
-        """Where the node starts."""
+        """The source, line and column at which the node starts, and its path."""
         return f"{_describe_mark(self._mark, self._source)} {self._path}".rstrip()
 
     @property
     def is_handwritten(self) -> bool:
-        """Yes."""
+        """True: YAML contracts are written by hand."""
         return True
 
     def describe_field(self, name: str) -> str:
-        """Return the place of the mapping, with the path of the field."""
+        """Return the location of the mapping with the path that the field would have."""
         return f"{_describe_mark(self._mark, self._source)} {_join_path(self._path, name)}"
 
     def list_entries(self) -> tuple[Entry, ...] | None:
-        """Return the fields of a mapping."""
+        """Return the fields of a mapping, with duplicates; None if it is not a mapping."""
         if not isinstance(self._node, ruamel.yaml.MappingNode):
             return None
         return tuple(self._make_entry(key, value) for key, value in self._node.value)
 
     def list_items(self) -> tuple[Node, ...] | None:
-        """Return the items of a sequence."""
+        """Return the items of a sequence; None if it is not a sequence."""
         if not isinstance(self._node, ruamel.yaml.SequenceNode):
             return None
         return tuple(
@@ -154,7 +154,7 @@
         )
 
     def read_scalar(self) -> Scalar:
-        """Return the value that the text stands for; numbers are decimal."""
+        """Return the value of a scalar; integers are decimal, of at most 18 digits."""
         if not isinstance(self._node, ruamel.yaml.ScalarNode):
             return UnsupportedScalar(type(self._node).__name__.removesuffix("Node").lower())
         text = str(self._node.value)
@@ -174,7 +174,7 @@
         path = _join_path(self._path, name)
         node = YamlNode(value, self._source, path)
         if value.value == "":
-            # The parser places an empty value at whatever comes next, often another line.
+            # The parser gives an empty value the location of the next token, often another line.
             node._mark = key.start_mark
         return Entry(name, f"{_describe_mark(key.start_mark, self._source)} {path}", node)
 
--- a/libs/contracts/oleander_contracts/readers.py
+++ b/libs/contracts/oleander_contracts/readers.py
@@ -1,9 +1,9 @@
 """
-Contracts from YAML and from the log's JSON, and back to JSON.
+Reads contracts from YAML and JSON, and writes them as JSON.
 
-Every fault is found in one reading and reported with its place. What the log holds is read by
-every process alike, so the bounds below are part of the log's format: a release that changes one
-must still read the records of the release before it in the same way.
+All errors of a contract are reported together with their locations. The limits below are part of
+the format of the log, as every process must read its records in the same way: a release that
+changes a limit must still accept and reject the records of the previous release as before.
 """
 
 import json
@@ -19,7 +19,7 @@
 MAX_OPERATIONS = 64
 MAX_TRAINERS = 16
 RESERVED_OPERATION = "trainer"
-"""Counters of trainers stand under this word, where other words are operations."""
+"""Not allowed as an operation: names of trainer counters have it in the operation's place."""
 
 ContractResult = expression.Result[contract.Contract, findings.Findings]
 
@@ -38,13 +38,13 @@
 
 
 def read_contract(text: str, source: str) -> ContractResult:
-    """Return the contract of a YAML or JSON text; `source` names the text in findings."""
+    """Read a contract from a YAML or JSON text; `source` names the text in findings."""
     size = len(text.encode(errors="replace"))
     if size > MAX_CONTRACT_BYTES:
         return _reject(source, f"has {size} bytes, more than {MAX_CONTRACT_BYTES}")
     composer = ruamel.yaml.YAML(typ="safe", pure=True)
     try:
-        # Composing builds no objects, so no tag in the text can make any.
+        # compose() constructs no Python objects, so tags in the text can't create any.
         root = composer.compose(text)
     except ruamel.yaml.error.MarkedYAMLError as error:
         return _reject(_describe_mark(error, source), f"is no YAML: {error.problem}")
@@ -56,7 +56,7 @@
 
 
 def read_document(document: typing.Any) -> ContractResult:
-    """Return the contract of a JSON document, as it stands in the log."""
+    """Read a contract from a JSON document, the form that is stored in the log."""
     try:
         size = len(json.dumps(document, separators=(",", ":")))
     except (TypeError, ValueError, RecursionError):
@@ -67,7 +67,7 @@
 
 
 def write_document(terms: contract.Contract) -> dict[str, typing.Any]:
-    """Return a contract as a JSON document, every field written out."""
+    """Return a contract as a JSON document that includes fields with default values."""
     return {
         "customer": terms.customer,
         "share_percent": terms.share_percent,
@@ -124,7 +124,7 @@
 
 
 def read_terms(node: nodes.Node, found: list[findings.Finding]) -> contract.Contract:
-    """Return the contract of a node; it is of no use if anything was found."""
+    """Read a contract from a node; it is valid only if nothing was added to `found`."""
     reader = fields.FieldReader(node, found)
     customer = reader.read_name("customer")
     if customer == names.OPERATOR:
@@ -146,14 +146,14 @@
 
 
 class _UniqueNames:
-    """Finds names that stand twice in one list."""
+    """Reports names that occur twice in one list."""
 
     def __init__(self, found: list[findings.Finding]) -> None:
         self._found = found
         self._places: dict[str, str] = {}
 
     def read_name(self, reader: fields.FieldReader) -> str:
-        """Return the name of an item."""
+        """Return the name of an item; add a finding if an earlier item has it."""
         name = reader.read_name("name")
         place = reader.find_place("name")
         if name in self._places:
--- a/libs/contracts/oleander_contracts/records.py
+++ b/libs/contracts/oleander_contracts/records.py
@@ -1,4 +1,4 @@
-"""The records of the configuration stream, typed, and their JSON form."""
+"""The record types of the configuration stream and their JSON form."""
 
 import abc
 import collections.abc
@@ -14,7 +14,7 @@
 STREAM = "configuration"
 
 MAX_RECORD_BYTES = 2 * 1024 * 1024
-"""A larger record of any kind is void; a snapshot always fits, see `state`."""
+"""A larger record of any kind is void; a snapshot is always smaller, see `state`."""
 
 _MAX_SMALL_RECORD_BYTES = readers.MAX_CONTRACT_BYTES + 4096
 _MAX_BY_LENGTH = 200
@@ -27,7 +27,7 @@
 
 
 class Kind(enum.StrEnum):
-    """The kinds of record; others belong to later releases and are passed over."""
+    """The known kinds of records; other kinds belong to later releases and are ignored."""
 
     CONTRACT = "contract"
     VERSION = "version"
@@ -45,18 +45,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ContractRecord(Record):
-    """A contract to put in force, if `base` still is."""
+    """A new version of a contract; accepted only if the version at `base` is in force."""
 
     contract: contract.Contract
     base: int
-    """The offset of the contract it was based on; `NO_OFFSET` for the customer's first."""
+    """The offset of the version that it replaces; `NO_OFFSET` for a customer's first contract."""
     by: str
     nonce: str = ""
-    """Tells the record to its publisher when the answer to the append was lost."""
+    """Lets the publisher recognise its record in the log if the answer to the append was lost."""
 
     @property
     def customer(self) -> str:
-        """Whose contract it is."""
+        """The customer of the contract."""
         return self.contract.customer
 
     def to_value(self) -> dict[str, typing.Any]:
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class VersionRecord(Record):
-    """A weight version that its trainer has stored."""
+    """A weight version that its trainer has put into the weight store."""
 
     model: str
     version: int
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TrainerRecord(Record):
-    """A run of a trainer that has begun; earlier runs are no longer served."""
+    """The start of a new incarnation of a trainer; earlier ones are no longer served."""
 
     customer: str
     trainer: str
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SnapshotRecord(Record):
-    """Everything that the records up to `through` put in force."""
+    """The configuration in force after the record at offset `through`."""
 
     through: int
     contracts: tuple[in_force.ContractInForce, ...]
@@ -126,12 +126,12 @@
     kind: str
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the kind only; the rest was not read."""
+        """Return the kind only, as the other fields were not read."""
         return {"kind": self.kind}
 
 
 def read_record(value: typing.Any) -> expression.Result[Record, findings.Findings]:
-    """Return the record of a JSON value, or all that is wrong with it."""
+    """Read a record from a JSON value; return all errors if it is invalid."""
     found: list[findings.Finding] = []
     record = _read_value(value, found)
     if found or record is None:
--- a/libs/contracts/oleander_contracts/state.py
+++ b/libs/contracts/oleander_contracts/state.py
@@ -1,4 +1,4 @@
-"""What is in force: the same records, folded in the same order, give the same state."""
+"""The configuration in force, as a deterministic function of the records applied."""
 
 import typing
 
@@ -7,10 +7,10 @@
 
 MAX_STATE_BYTES = 1024 * 1024
 """
-What is in force takes at most so many bytes as JSON.
+The maximum size of the configuration in force as JSON.
 
-A record that would take more is void. This keeps memory bounded and every snapshot smaller than
-the largest record that is read (`records.MAX_RECORD_BYTES`).
+A record that would exceed it is void. This bounds memory and keeps every snapshot below the
+maximum size of a record (`records.MAX_RECORD_BYTES`).
 """
 
 _Item = in_force.ContractInForce | in_force.ModelVersion | in_force.TrainerIncarnation
@@ -20,8 +20,8 @@
     """
     The contracts, weight versions and trainer incarnations in force; not thread-safe.
 
-    Bounded by `MAX_STATE_BYTES`. It depends on the records alone: not on time, on the process or
-    on how it came to have them.
+    Bounded by `MAX_STATE_BYTES`. The state depends only on the records applied and their order:
+    not on time, on the process, or on whether they came one by one or as a snapshot.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: records.SnapshotRecord) -> "ConfigurationState":
-        """Return the state that a snapshot holds."""
+        """Create the state of a snapshot."""
         state = cls()
         state._contracts = {item.contract.customer: item for item in snapshot.contracts}
         state._versions = {item.model: item for item in snapshot.versions}
@@ -42,7 +42,7 @@
 
     @property
     def size(self) -> int:
-        """The bytes of what is in force, as JSON."""
+        """The size of the state as JSON, in bytes."""
         return self._bytes
 
     @property
@@ -61,7 +61,7 @@
         return self._trainers
 
     def fold(self, offset: int, record: records.Record) -> in_force.Verdict:
-        """Take in the next record."""
+        """Apply the next record and return the verdict on it."""
         match record:
             case records.ContractRecord():
                 return self._fold_contract(offset, record)
@@ -74,7 +74,7 @@
         return _ignore("a kind that this release does not know")
 
     def create_snapshot(self, through: int) -> records.SnapshotRecord:
-        """Return everything in force, in an order that does not depend on how it came about."""
+        """Return a snapshot, sorted so that equal states give equal snapshots."""
         return records.SnapshotRecord(
             through=through,
             contracts=tuple(item for _, item in sorted(self._contracts.items())),
@@ -83,7 +83,7 @@
         )
 
     def find_regression(self, after: "ConfigurationState") -> str:
-        """Return what another state would take back; empty if nothing."""
+        """Describe the first item that is older or missing in another state; empty if none."""
         for customer, contract in self._contracts.items():
             if _read_offset(after.contracts.get(customer)) < contract.offset:
                 return f"the contract of {customer}"
@@ -100,8 +100,8 @@
 
     def _fold_contract(self, offset: int, record: records.ContractRecord) -> in_force.Verdict:
         current = self._contracts.get(record.customer)
-        # Two operators who started from the same contract both name it as their base. The log's
-        # order decides: the first replaces it, so the second's base is in force no more.
+        # Two operators who edit the same version both name it as the base. The first record in
+        # the log replaces that version, so the second has an outdated base and is void.
         if record.base != _read_offset(current):
             return _void(
                 current, f"based on {_describe_base(record.base)}, {_describe_current(current)}"
--- a/libs/contracts/oleander_contracts/windows.py
+++ b/libs/contracts/oleander_contracts/windows.py
@@ -1,4 +1,4 @@
-"""Consecutive records kept in memory, within a bound."""
+"""A bounded window of consecutive records in memory."""
 
 import collections
 import dataclasses
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class KeptRecord:
-    """A record as the log holds it, and the verdict once there is one."""
+    """A record of the log, and the verdict on it once it was applied."""
 
     offset: int
     logged_at_ms: int
@@ -22,7 +22,7 @@
     """
     Records with consecutive offsets; not thread-safe.
 
-    Bounded in number and bytes: the oldest are dropped to make room, but the newest always stays.
+    Bounded in number and bytes: the oldest records are evicted, but the newest is always kept.
     """
 
     def __init__(self, first_offset: int, max_records: int, max_bytes: int) -> None:
@@ -35,16 +35,16 @@
 
     @property
     def first_offset(self) -> int:
-        """The oldest record kept; where nothing is kept, the offset that comes next."""
+        """The offset of the oldest record; the next offset if the window is empty."""
         return self._records[0].offset if self._records else self._next_offset
 
     @property
     def next_offset(self) -> int:
-        """The only offset that can be added."""
+        """The offset of the next record to add."""
         return self._next_offset
 
     def add(self, record: KeptRecord) -> None:
-        """Add the record that comes next."""
+        """Add the record at `next_offset`; evict the oldest ones that exceed the bounds."""
         size = in_force.measure_value(record.value) or 0
         self._records.append(record)
         self._sizes.append(size)
@@ -54,7 +54,7 @@
             self.pop_first()
 
     def pop_first(self) -> KeptRecord:
-        """Remove and return the oldest record."""
+        """Remove and return the oldest record; raise IndexError if the window is empty."""
         self._bytes -= self._sizes.popleft()
         return self._records.popleft()
 
@@ -65,12 +65,12 @@
         self._next_offset = max(self._next_offset, offset)
 
     def find(self, offset: int) -> KeptRecord | None:
-        """Return the record at an offset, if it is kept."""
+        """Return the record at an offset, or None if it is not in the window."""
         index = offset - self.first_offset
         return self._records[index] if 0 <= index < len(self._records) else None
 
     def list_after(self, offset: int, max_bytes: int) -> tuple[KeptRecord, ...]:
-        """Return the records that follow an offset: as many as fit, and one at least."""
+        """Return the records after an offset: at least one, further ones within `max_bytes`."""
         taken: list[KeptRecord] = []
         total = 0
         start = max(0, offset + 1 - self.first_offset)
