--- a/libs/platform/oleander_platform/__init__.py
+++ b/libs/platform/oleander_platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services, behind one abstract class each: log, host list, weight store."""
+"""Clients of the platform's services: abstract classes for the log and the host list."""
 
 from oleander_platform import (
     hostlist,
--- a/libs/platform/oleander_platform/hostlist.py
+++ b/libs/platform/oleander_platform/hostlist.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of hosts."""
+"""The platform's list of hosts, which may lag behind the actual state."""
 
 import abc
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class HostState(enum.Enum):
-    """What the platform believes of a host."""
+    """The state of a host according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -18,27 +18,27 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Host:
-    """One backend server host and the sidecar on it."""
+    """A host that runs a backend server and its sidecar."""
 
     name: str
     address: str
-    """Where the sidecar listens, as IP:port."""
+    """The sidecar's address, as IP:port."""
     failure_domain: str
     state: HostState
     backend: str = ""
-    """The group of its backend server, where the list tells it."""
+    """The group of its backend server; empty if the list does not state it."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class HostListError:
-    """The list could not be read; the last one goes on being used."""
+    """The list could not be read; callers keep using the previous one."""
 
     detail: str
 
 
 class HostList(abc.ABC):
-    """Lists the hosts that have a sidecar."""
+    """A source of the list of hosts with sidecars."""
 
     @abc.abstractmethod
     def read(self, deadline: clock.Deadline) -> expression.Result[tuple[Host, ...], HostListError]:
-        """Return every host that the platform knows, live or leaving."""
+        """Return all live and leaving hosts."""
--- a/libs/platform/oleander_platform/http_hostlist.py
+++ b/libs/platform/oleander_platform/http_hostlist.py
@@ -13,7 +13,7 @@
 
 
 class HttpHostList(hostlist.HostList):
-    """Reads the list on a connection kept for each thread; a list with a fault is no list."""
+    """Reads the list on one connection per thread; one invalid entry makes it an error."""
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -21,7 +21,7 @@
     def read(
         self, deadline: clock.Deadline
     ) -> expression.Result[tuple[hostlist.Host, ...], hostlist.HostListError]:
-        """Return every host that the platform knows, live or leaving."""
+        """Return all live and leaving hosts."""
         request = http_exchange.Request("GET", "/hosts")
         answered = self._caller.call_idempotent(request, deadline)
         if answered.is_error():
--- a/libs/platform/oleander_platform/http_logservice.py
+++ b/libs/platform/oleander_platform/http_logservice.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP."""
+"""A client of the log service over HTTP."""
 
 import json
 import typing
@@ -18,7 +18,7 @@
 
 
 class HttpLogService(logservice.LogService):
-    """Appends on a new connection each time, reads on one kept for each thread."""
+    """Appends on a new connection each time and reads on one persistent connection per thread."""
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -26,7 +26,7 @@
     def append(
         self, stream: str, values: list[dict[str, typing.Any]], deadline: clock.Deadline
     ) -> expression.Result[int, logservice.LogError]:
-        """Append records together; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
         body = json.dumps({"records": values}).encode()
         request = http_exchange.Request("POST", _build_path(stream), body, _JSON_HEADERS)
         received = _check_answer(self._caller.call_once(request, deadline))
@@ -44,11 +44,11 @@
         self, stream: str, offset: int, wait_ms: int, deadline: clock.Deadline
     ) -> expression.Result[logservice.Page, logservice.LogError]:
         """
-        Return records from an offset on, waiting a while for the first new one.
+        Return records from an offset on, waiting up to `wait_ms` for the first one.
 
-        The wait is cut to half of the time left, so that an empty page comes before the deadline.
-        A record that is no object reads as an empty one: it keeps its offset, and a record
-        written by mistake can't stop everyone who reads the stream.
+        The wait is limited to half of the remaining time, so that an empty page arrives before
+        the deadline. A record that is not a JSON object is returned as an empty one with its
+        offset, as otherwise one record written by mistake would block all readers of the stream.
         """
         wait_ms = min(wait_ms, deadline.remaining_ms // 2)
         query = f"?offset={offset}&limit={_MAX_RECORDS}&wait_ms={wait_ms}"
@@ -71,10 +71,10 @@
     answered: expression.Result[http_exchange.Answer, http_exchange.ExchangeError],
 ) -> _Received:
     """
-    Return the answer's body where the call succeeded.
+    Return a reader of the answer's body if the call succeeded.
 
-    Only a refused connection and the two statuses that promise it are taken as proof that nothing
-    was appended: after anything else the records may appear, even later.
+    Only a refused connection and the statuses 429 and 503 prove that nothing was appended. After
+    any other failure the records may be in the log, or appear in it later.
     """
     if answered.is_error():
         refused = answered.error.reach is http_exchange.Reach.REFUSED
--- a/libs/platform/oleander_platform/keyed_follower.py
+++ b/libs/platform/oleander_platform/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Follows a keyed topic of the platform's log: the newest value of each key."""
+"""Follows a keyed topic of the platform's log, of which the newest value of each key counts."""
 
 import abc
 
@@ -6,42 +6,42 @@
 from oleander_platform import recordlog
 
 _WAIT_MS = 1000
-"""A silent connection must be noticed while a change can still be in force in time."""
+"""Short enough that a change takes effect in time even if the connection has become silent."""
 _READ_SECONDS = 1.4
-"""Above the wait by a slow store's answer."""
+"""Longer than the wait for records by the time of a slow answer."""
 _PROBE_SECONDS = 0.6
-"""For a read while the log is away, which waits for no record."""
+"""For a read while the log is unavailable, which does not wait for records."""
 _RETRY_SECONDS = 0.2
-"""Between tries while the log does not answer: five calls a second."""
+"""Delay between reads while the log does not answer, which limits the calls to five a second."""
 _PARTITION = 0
 
 
 class KeyedSink(abc.ABC):
-    """Takes in what a keyed topic says."""
+    """Receives the contents and the changes of a keyed topic."""
 
     @abc.abstractmethod
     def put(self, key: str, value: bytes) -> None:
-        """Take in the newest value of a key."""
+        """Store the newest value of a key."""
 
     @abc.abstractmethod
     def delete(self, key: str) -> None:
-        """Take in that a key is gone."""
+        """Delete a key."""
 
     @abc.abstractmethod
     def retain_only(self, keys: set[str]) -> None:
-        """Take in all keys that there are, after a whole reading."""
+        """Delete all keys but these; called with the keys of a full read, before their values."""
 
     @abc.abstractmethod
     def mark_current(self) -> None:
-        """Take in that the topic was read to its end."""
+        """Record that the values are current; called after each successful read."""
 
 
 class KeyedFollower:
     """
-    Reads one keyed topic into a sink, whole at first and then as it grows.
+    Reads one keyed topic into a sink: all keys first, then new records.
 
-    The log may drop old records at any time. Whoever had not read them would miss a change for
-    ever, so a gap leads to another whole reading; the newest record of each key is always kept.
+    The log may delete old records at any time, except the newest record of each key. A reader
+    that had not read the deleted ones would miss a change, so a gap causes another full read.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         group: tasks.TaskGroup,
         pause_seconds: float,
     ) -> None:
-        """Pause between reads, which bounds the calls where a topic changes all the time."""
+        """Set the pause between reads, which limits the calls on a topic that changes often."""
         self._log = log_service
         self._topic = topic
         self._sink = sink
@@ -90,10 +90,11 @@
 
     def _read_new(self) -> bool:
         """
-        Read what is new, waiting for it unless the log was away.
+        Read new records; wait for the first one unless the log was unavailable.
 
-        Only an answer shows that the log is back. Where nothing changes it would come after the
-        whole wait, and the process would refuse its callers for a second longer than it must.
+        Only an answer shows that the log is available again. If nothing changes, a read that
+        waits is answered after the full wait, and the process would refuse its callers for a
+        second longer than necessary.
         """
         offset = self._next_offset or 0
         wait_ms = 0 if self._is_log_lost else _WAIT_MS
@@ -106,13 +107,13 @@
         if page.first_offset > offset:
             log.logger.bind(
                 event="log-gap", topic=self._topic, read_to=offset, first=page.first_offset
-            ).info("reading the newest of each key")
+            ).info("records were deleted before they were read: reading all keys again")
             self._next_offset = None
             return self._read_all()
         for record in page.records:
             item = recordlog.decode_keyed(record)
             if item is None:
-                log.warn_bounded(f"record-{self._topic}", "a malformed record is passed over")
+                log.warn_bounded(f"record-{self._topic}", "a malformed record is ignored")
             else:
                 self._apply(item)
         self._next_offset = page.next_offset
--- a/libs/platform/oleander_platform/logservice.py
+++ b/libs/platform/oleander_platform/logservice.py
@@ -1,4 +1,4 @@
-"""The append-only log: the only thing that lasts."""
+"""The append-only log, the only durable storage of the system."""
 
 import abc
 import dataclasses
@@ -15,19 +15,19 @@
 
     offset: int
     logged_at_ms: int
-    """When the log service took it, by the log's clock; for people to read."""
+    """Unix time of the append by the clock of the log service; for display only."""
     value: dict[str, typing.Any]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Page:
-    """Consecutive records, and what the stream holds around them."""
+    """Consecutive records, and the range of offsets of the stream."""
 
     records: tuple[Record, ...]
     first_offset: int
-    """The oldest record still kept."""
+    """The offset of the oldest record still in the log."""
     next_offset: int
-    """The offset that the stream's next record will get."""
+    """The offset of the next record to be appended to the stream."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -36,7 +36,7 @@
 
     detail: str
     may_have_effect: bool
-    """Whether records of a failed append may stand in the log, now or later."""
+    """Whether the records of a failed append may be in the log, or appear in it later."""
     retry_after_ms: int
 
 
@@ -47,14 +47,14 @@
     def append(
         self, stream: str, values: list[dict[str, typing.Any]], deadline: clock.Deadline
     ) -> expression.Result[int, LogError]:
-        """Append records together; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
 
     @abc.abstractmethod
     def read(
         self, stream: str, offset: int, wait_ms: int, deadline: clock.Deadline
     ) -> expression.Result[Page, LogError]:
         """
-        Return records from an offset on, waiting a while for the first new one.
+        Return records from an offset on, waiting up to `wait_ms` for the first one.
 
-        An offset older than the oldest kept record starts at that record.
+        If the record at the offset was deleted, the page starts at the oldest one still kept.
         """
--- a/libs/platform/oleander_platform/recordlog.py
+++ b/libs/platform/oleander_platform/recordlog.py
@@ -1,4 +1,4 @@
-"""The platform's log as topics of partitions that hold plain bytes."""
+"""The platform's log as topics with partitions, whose records are bytes."""
 
 import abc
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RawRecord:
-    """One record; its offset in its partition never changes."""
+    """A record; its offset in its partition never changes."""
 
     offset: int
     content: bytes
@@ -26,17 +26,17 @@
     requested_offset: int
     records: tuple[RawRecord, ...]
     first_offset: int
-    """The oldest record still kept."""
+    """The offset of the oldest record still in the log."""
     end_offset: int
-    """The offset that the next record will get."""
+    """The offset of the next record to be appended."""
 
     @property
     def next_offset(self) -> int:
         """
-        Where to go on reading.
+        The offset to read from next.
 
-        A page without records moves nobody on, whatever end it names: a record that came just as
-        the page was written would be missed for ever.
+        A page without records does not advance it to `end_offset`: a record appended while the
+        page was created would be skipped.
         """
         if self.records:
             return self.records[-1].offset + 1
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class KeyedRecord:
-    """The newest value of a key, or nothing where the key was dropped."""
+    """The newest value of a key, or None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AppendedRange:
-    """Where records stand."""
+    """The range of offsets of appended records; `end_offset` is exclusive."""
 
     first_offset: int
     end_offset: int
@@ -62,41 +62,45 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EndMismatch:
-    """A conditional append did nothing: the partition does not end where it was expected to."""
+    """A conditional append had no effect: the partition does not end at the expected offset."""
 
     end_offset: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Membership:
-    """What a member of a group was given; a hint, for others may act on older ones."""
+    """
+    The partitions assigned to a group member.
+
+    This is a hint only, as other members may still act on older assignments.
+    """
 
     generation: int
     partitions: frozenset[int]
-    """The partitions of the one topic asked for."""
+    """The assigned partitions of the requested topic."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MemberRequest:
-    """A member that joins a group or stays in it."""
+    """A request of a member to join a group or to remain in it."""
 
     group: str
     member: str
     topic: str
     ttl_ms: int
-    """The member counts as gone when it was not heard for so long."""
+    """The member is removed if it sends no request for this long."""
     generation: int
-    """Of the last answer; 0 at first."""
+    """The generation in the last answer; 0 in the first request."""
 
 
 class RecordLog(abc.ABC):
-    """Appends to and reads from partitions; dealing them out to members is a hint only."""
+    """Appends to and reads from partitions; their assignment to members is a hint only."""
 
     @abc.abstractmethod
     def append(
         self, topic: str, partition: int, records: list[bytes], deadline: clock.Deadline
     ) -> expression.Result[AppendedRange, LogError]:
-        """Append all records or none; after an error that may have had effect they may come."""
+        """Append all records or none; after a `may_have_effect` error they may appear later."""
 
     @abc.abstractmethod
     def append_at(
@@ -107,45 +111,49 @@
         end_offset: int,
         deadline: clock.Deadline,
     ) -> expression.Result[AppendedRange, LogError | EndMismatch]:
-        """Append where the partition ends at an offset, and do nothing elsewhere."""
+        """Append if the partition ends at `end_offset`; otherwise do nothing."""
 
     @abc.abstractmethod
     def read(
         self, topic: str, partition: int, offset: int, wait_ms: int, deadline: clock.Deadline
     ) -> expression.Result[RawPage, LogError]:
         """
-        Return records from an offset on, waiting a while for the first.
+        Return records from an offset on, waiting up to `wait_ms` for the first one.
 
-        An offset older than the oldest kept record starts at that record.
+        If the record at the offset was deleted, the page starts at the oldest one still kept.
         """
 
     @abc.abstractmethod
     def read_newest(
         self, topic: str, deadline: clock.Deadline
     ) -> expression.Result[tuple[tuple[KeyedRecord, ...], int], LogError]:
-        """Return the newest record of each key of a keyed topic, and where to read on."""
+        """Return the newest record of each key of a keyed topic and the next offset to read."""
 
     @abc.abstractmethod
     def join(
         self, request: MemberRequest, deadline: clock.Deadline
     ) -> expression.Result[Membership, LogError]:
-        """Join a group, or stay in it."""
+        """Join a group or remain in it; return the assigned partitions."""
 
     @abc.abstractmethod
     def leave(
         self, request: MemberRequest, deadline: clock.Deadline
     ) -> expression.Result[None, LogError]:
-        """Leave a group, so that others get the partitions at once."""
+        """Leave a group, so that its partitions are assigned to other members at once."""
 
 
 def encode_keyed(key: str, value: bytes) -> bytes:
-    """Return a record of a keyed topic; without a value it drops the key."""
+    """
+    Encode a record of a keyed topic: key length (one byte), key, value.
+
+    An empty value deletes the key.
+    """
     raw_key = key.encode()
     return bytes((len(raw_key),)) + raw_key + value
 
 
 def decode_keyed(record: RawRecord) -> KeyedRecord | None:
-    """Return a record of a keyed topic, or nothing where it is malformed."""
+    """Decode a record of a keyed topic; return None if it is malformed."""
     if not record.content:
         return None
     length = record.content[0]
--- a/libs/wire/oleander_wire/__init__.py
+++ b/libs/wire/oleander_wire/__init__.py
@@ -1,4 +1,4 @@
-"""How the system's own processes talk: typed messages in CBOR over WebSocket."""
+"""The protocol between entries and sidecars: typed messages in CBOR over WebSocket."""
 
 from oleander_wire import codec, link, messages
 
--- a/libs/wire/oleander_wire/codec.py
+++ b/libs/wire/oleander_wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to CBOR frames and back; every field is checked, unknown ones are ignored."""
+"""Encodes messages as CBOR frames and decodes them; unknown fields are ignored."""
 
 import dataclasses
 import enum
@@ -44,7 +44,7 @@
 
 
 def encode_message(message: messages.Message) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     content = _encode_fields(message)
     content[_TYPE_FIELD] = type(message).__name__
     return cbor2.dumps(content)
@@ -67,7 +67,7 @@
 def decode_message(
     frame: bytes | str,
 ) -> expression.Result[messages.Message, findings.Findings]:
-    """Return the message of a frame, or all that is wrong with it."""
+    """Decode a frame; return all validation errors if it is not a valid message."""
     if isinstance(frame, str):
         return _reject("frame", "is text, not CBOR")
     try:
--- a/libs/wire/oleander_wire/link.py
+++ b/libs/wire/oleander_wire/link.py
@@ -1,4 +1,4 @@
-"""One WebSocket connection between an entry and a sidecar, sending and receiving messages."""
+"""Links: WebSocket connections between entries and sidecars that carry messages."""
 
 import collections.abc
 import contextlib
@@ -25,19 +25,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LinkError:
-    """The connection is of no more use."""
+    """The connection failed or was closed, or could not be opened."""
 
     detail: str
     is_refused: bool = False
-    """Whether nobody listens at the address."""
+    """Whether the connection was refused, so that no process listens at the address."""
 
 
 def _set_send_timeout(connected: socket.socket) -> None:
     """
-    Let a send fail after a while.
+    Set a send timeout of two seconds and disable Nagle's algorithm.
 
-    A peer that is paused stops reading; once the buffers are full, a send to it would block its
-    thread for as long as the pause lasts. With the bound the link is closed instead.
+    A suspended peer stops reading. Once the socket buffers are full, a send to it would block its
+    thread as long as the peer is suspended; with the timeout the link is closed instead.
     """
     timeout = struct.pack("ll", _SEND_SECONDS, 0)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeout)
@@ -45,7 +45,7 @@
 
 
 class Link:
-    """A connection whose frames are messages; safe to send on from several threads."""
+    """A connection that sends and receives messages; several threads may send at once."""
 
     def __init__(self, connection: websockets.sync.connection.Connection) -> None:
         self._connection = connection
@@ -55,16 +55,16 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the link is of no more use."""
+        """Whether the link was closed here or a send or receive on it has failed."""
         return self._closed.is_set()
 
     @property
     def is_closed_by_peer(self) -> bool:
         """
-        Whether the other end has closed the link, also where that has not been read yet.
+        Whether the peer has closed the link, even if no thread has read the end yet.
 
-        The system knows it before any thread here does: one that was paused, or waits for the
-        processor, still has to read what was sent before.
+        The kernel knows this earlier than the receiving thread, which may have been suspended or
+        wait for a CPU, and first has to read the messages that were sent before.
         """
         descriptor = self._connection.socket.fileno()
         if self.is_closed or descriptor < 0:
@@ -74,7 +74,7 @@
         return bool(poller.poll(0))
 
     def send(self, message: messages.Message) -> expression.Result[None, LinkError]:
-        """Send a message; after an error it may or may not have arrived."""
+        """Send a message; after an error it may have arrived."""
         frame = codec.encode_message(message)
         try:
             with self._send_lock:
@@ -88,9 +88,9 @@
         self, deadline: clock.Deadline
     ) -> expression.Result[messages.Message | None, LinkError]:
         """
-        Return the next message, or nothing at the deadline.
+        Return the next message, or None at the deadline.
 
-        A frame that is no message closes this connection, with the reason, and nothing else.
+        A frame that is not a valid message closes this link with the errors as the reason.
         """
         try:
             frame = self._connection.recv(timeout=deadline.remaining)
@@ -105,13 +105,13 @@
         return self._close_on_bad_frame(decoded.error)
 
     def close(self, code: int = 1000, reason: str = "") -> None:
-        """Close the connection."""
+        """Close the link with a close code and reason; wait up to a second for the peer."""
         self._closed.set()
         with contextlib.suppress(websockets.exceptions.WebSocketException, OSError):
             self._connection.close(code, reason[:100])
 
     def abort(self) -> None:
-        """Close the connection without waiting for a peer that may be paused."""
+        """Close the link without waiting for the peer, which may be suspended."""
         self._closed.set()
         with contextlib.suppress(OSError):
             self._connection.socket.shutdown(socket.SHUT_RDWR)
@@ -120,13 +120,13 @@
     def _close_on_bad_frame(
         self, problem: findings.Findings
     ) -> expression.Result[messages.Message | None, LinkError]:
-        log.warn_bounded("bad-frame", f"closing a connection: {problem}")
+        log.warn_bounded("bad-frame", f"invalid message, closing the link: {problem}")
         self.close(_CLOSE_BAD_FRAME, str(problem))
         return expression.Error(LinkError(str(problem)))
 
 
 def dial_link(address: str, deadline: clock.Deadline) -> expression.Result[Link, LinkError]:
-    """Connect to the process that listens at IP:port."""
+    """Connect to the process that listens at `address` (IP:port)."""
     try:
         connection = websockets.sync.client.connect(
             f"ws://{address}/",
@@ -144,7 +144,7 @@
 
 
 class LinkServer:
-    """Accepts links; each is served on a thread of its own until the handler returns."""
+    """Accepts up to `max_links` links and runs the handler of each on its own thread."""
 
     def __init__(
         self,
@@ -168,15 +168,15 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port that the server listens on."""
         return int(self._server.socket.getsockname()[1])
 
     def serve(self) -> None:
-        """Accept connections until stopped."""
+        """Accept links until `stop` is called."""
         self._server.serve_forever()
 
     def stop(self) -> None:
-        """Accept no more; open links are closed by their handlers."""
+        """Accept no more links; the handlers close those that are open."""
         self._server.shutdown()
 
     def _serve_connection(self, connection: websockets.sync.server.ServerConnection) -> None:
--- a/libs/wire/oleander_wire/messages.py
+++ b/libs/wire/oleander_wire/messages.py
@@ -1,7 +1,8 @@
 """
-The messages between an entry and a sidecar.
+The messages between entries and sidecars.
 
-Times on the wire are budgets in milliseconds: two hosts' clocks are never compared.
+Messages carry remaining time in milliseconds rather than points of time, as the clocks of two
+hosts are never compared.
 """
 
 import dataclasses
@@ -10,29 +11,29 @@
 
 PROTOCOL = 1
 REASON_UNSEEN = "key-unseen"
-"""The reason of an answer to `Find` for a key that never came."""
+"""The reason of an answer to `Find` for a key that the sidecar has not received."""
 REASON_OTHER_BODY = "key-used-for-another-body"
-"""The reason of an answer for a key that came before with another body."""
+"""The reason of an answer for a key that was used before with a different body."""
 
 TICKET_SHARD = -1
-"""The shard of a key that is a ticket and has no claim; the offset is then its epoch."""
+"""The shard of a request whose key is a ticket, without a claim; `claim_offset` is its epoch."""
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """The outcome of a request."""
 
     DONE = "done"
     NOT_RUN = "not-run"
-    """It did not run and never will; there is evidence."""
+    """It is proven that the request did not run and never will."""
     FAILED = "failed"
-    """It ran, and the backend server answered with a failure."""
+    """The request ran, and the backend server returned an error."""
     UNKNOWN = "unknown"
-    """It may have run."""
+    """The request may have run."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Hello:
-    """The first message each way: who speaks."""
+    """The first message in each direction: identifies the sender."""
 
     protocol: int
     name: str
@@ -43,44 +44,48 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """How a sidecar is; also sent along with answers, so a busy link needs few of them."""
+    """
+    The state of a sidecar.
+
+    It is also sent along with answers, so that a busy link needs few separate heartbeats.
+    """
 
     backend: str
     queued: int
     running: int
     slots: int
     wait_ms: int
-    """How long a new request would wait."""
+    """The estimated queueing time of a new request."""
     version: int | None
-    """The weight version in use; nothing for a plain service or an engine out of rotation."""
+    """The weight version in use; None for a plain service or an engine out of rotation."""
     in_rotation: bool
     leaving: bool
     configuration_offset: int
     ticket_epoch: int
-    """What a ticket that is issued now for this sidecar says of its age."""
+    """The epoch of tickets issued now for this sidecar, from which their age follows."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RecordsOffer:
-    """What the sender has of the configuration, when it is asked or has something new."""
+    """The newest configuration record that the sender has applied, on request or on a change."""
 
     applied_offset: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Records:
-    """Configuration records that the receiver was missing."""
+    """Configuration records that the receiver lacks."""
 
     offsets: list[int]
     times_ms: list[int]
     values: list[dict[str, typing.Any]]
     snapshot: dict[str, typing.Any] | None
-    """Everything in force, where the records that led to it are no longer kept."""
+    """The configuration in force, if the records that the receiver lacks are no longer kept."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Run:
-    """Run a request here, if this incarnation is the one meant."""
+    """Run a request, provided that the sidecar still is the incarnation named here."""
 
     request_id: str
     trace_id: str
@@ -92,7 +97,7 @@
     attempt: int
     shard: int
     claim_offset: int
-    """Where the record that chose this sidecar stands; -1 for a repeatable request."""
+    """The offset of the claim that assigned the key to this sidecar; -1 if repeatable."""
     repeatable: bool
     priority: int
     share_percent: int
@@ -103,7 +108,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class GenerationTerms:
-    """What a model engine needs besides the body, which is the prompt."""
+    """The parameters of a generation; the body of the request is the prompt."""
 
     model: str
     prefix: str
@@ -111,12 +116,16 @@
     resumed_text: str
     resumed_tokens: int
     oldest_version: int
-    """Weights older than this are of no use to the asker."""
+    """The oldest weight version whose output the sender accepts."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Join:
-    """Ask the sidecar that a key was given to what became of it; seals an unseen key."""
+    """
+    Ask the sidecar to which a key was assigned for its answer.
+
+    A key that the sidecar has not received is sealed, so that it never runs there.
+    """
 
     request_id: str
     incarnation: str
@@ -131,7 +140,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Find:
-    """Ask a sidecar what it knows of a key, and change nothing there; answered at once."""
+    """Ask a sidecar for the state of a key without changing it; answered at once."""
 
     request_id: str
     customer: str
@@ -141,14 +150,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Cancel:
-    """Nobody wants the answer any more."""
+    """Cancel a request, as its answer is no longer needed."""
 
     request_id: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Tokens:
-    """Some tokens of a running generation and the weights that made them."""
+    """New tokens of a running generation and the weight version that produced them."""
 
     request_id: str
     text: str
@@ -158,12 +167,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Answer:
-    """The end of a request."""
+    """The final message about a request."""
 
     request_id: str
     outcome: Outcome
     status: int
-    """The status that the backend server gave; 0 where it gave none."""
+    """The status returned by the backend server; 0 if there was none."""
     reason: str
     retry_after_ms: int
     body: bytes
@@ -172,7 +181,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Goodbye:
-    """The last message of a sidecar: what it left unanswered on this link it did not run."""
+    """The last message of a sidecar: requests unanswered on this link did not run."""
 
 
 Message = (
