--- a/features/configuration_fold.feature
+++ b/features/configuration_fold.feature
@@ -1,10 +1,10 @@
 Feature: The configuration stream
-  Every process folds the same records by the same rules, and what was accepted stays in force.
+  Every process applies the same records by the same rules. Accepted records are never reverted.
 
-  Scenario Outline: The log's order decides which record is in force
-    # Two operators publish at once, or a publisher's append takes effect twice, or late. Each
-    # publisher hears the same verdict from every process: the first record on a base is in force,
-    # and every other is void, naming the offset and the author it lost to.
+  Scenario Outline: The order of the log decides which record is in force
+    # Two operators publish at once, or an append takes effect twice or late. Every process gives
+    # a publisher the same verdict: the first record on a base is in force, and any other one is
+    # void, with the offset and the author of the record in force.
     When the configuration records <records> are folded
     Then the configuration verdicts are <verdicts>
     And the configuration in force is <in force>
@@ -24,7 +24,7 @@
       | version art 3 by ann, version ink 1 by bo            | accepted 0 ann, accepted 1 bo                  | art=3 0 ann, ink=1 1 bo |
       | trainer desk art 2 by e1, trainer desk art 1 by e2, trainer desk art 2 by e2, trainer desk art 3 by e1 | accepted 0 e1, void 0 e1, void 0 e1, accepted 3 e1 | desk/art=3 3 e1 |
 
-    Examples: what other writers may leave in the log
+    Examples: invalid and unknown records of other writers
       | records                                              | verdicts                                       | in force |
       | {"kind": "contract"}, contract desk on -1 by ann     | void -1, accepted 1 ann                        | desk 1 ann |
       | {"kind": 7}, {}, {"kind": "later"}                   | void -1, void -1, ignored -1                   | nothing |
@@ -33,19 +33,19 @@
       | {"kind": "snapshot"; "through": 0; "contracts": []; "versions": []; "trainers": []} | void -1         | nothing |
       | contract desk on -1 by ann, snapshot                 | accepted 0 ann, ignored -1                     | desk 0 ann |
 
-  Scenario: A record is applied once, and a gap is named
-    # A peer and the log both deliver, in pieces that overlap or leave a hole. A record that was
-    # applied gets its verdict again; one that comes too early changes nothing and names what to
-    # fetch first.
+  Scenario: A record is applied once, and a gap is reported
+    # Records come from a peer and from the log, in parts that overlap or leave a gap. A record that
+    # was already applied gets the same verdict again. One after a gap changes nothing, and the
+    # error names the first missing offset.
     Given a configuration of 3 versions
     When the configuration record at 1 is applied again
     Then that configuration record is accepted and 2 is applied
     When the configuration record at 5 is applied
     Then the configuration gap is 3 before 5 and 2 is applied
 
-  Scenario Outline: A record of any size or depth is passed over
-    # Somebody writes to our stream what no process should keep: it must neither end the process
-    # nor fill its memory, and the next record must still be applied.
+  Scenario Outline: A record of excessive size or depth is skipped
+    # Another program appends such a record to the stream. It must neither crash the process nor
+    # fill its memory, and the next record must still be applied.
     When a configuration record of <what> is folded
     Then that configuration record is <verdict> and the next one is accepted
 
@@ -55,7 +55,7 @@
       | 3000000 letters          | ignored |
       | a document of 70000 letters | void |
 
-  Scenario Outline: What a peer lacks is handed over as records, or else as a snapshot
+  Scenario Outline: A peer gets the records it lacks, or a snapshot if they are no longer kept
     Given a configuration of 10 versions of which 4 are kept
     When a peer with configuration <applied> asks for what follows
     Then the peer gets the configuration <answer>
@@ -69,15 +69,15 @@
       | 4       | snapshot    |
       | -1      | snapshot    |
 
-  Scenario: Records are handed over in pieces of bounded size
+  Scenario: Records are handed over in batches of bounded size
     Given a configuration of 10 versions
     When a peer with configuration 2 asks for pieces of 1 byte
     Then the peer gets the configuration records 3
 
-  Scenario Outline: A process that starts after retention waits for a snapshot that covers the gap
-    # A host is replaced after the log has deleted old records. Nothing may be in force until a
-    # snapshot makes up for what is gone: records held before it would be folded on an empty base
-    # and give a verdict that no other process gave.
+  Scenario Outline: A process that starts after records were deleted waits for a snapshot
+    # A host is replaced after the log has deleted old records. Nothing may be in force before a
+    # snapshot that covers the deleted records: the remaining ones would be applied to an empty
+    # state and get verdicts that differ from those of other processes.
     Given a configuration log whose records are <records>
     When a process starts where the configuration log begins at <first>
     Then it has applied configuration <applied> and waiting is <waiting>
@@ -93,9 +93,9 @@
       | version, version, snapshot of 0, snapshot of 1, snapshot of 1 | 2   | 4       | no  |
       | version, version, snapshot of 0, snapshot of 9, version     | 2     | -1      | yes |
 
-  Scenario: A paused process that fell behind retention keeps what it had until it can go on
-    # It wakes up after its next record was deleted. What is in force there stays, the applied
-    # offset never falls, and a snapshot from the log or from a peer ends the wait.
+  Scenario: A process that was suspended until its next record was deleted waits for a snapshot
+    # When it resumes, its configuration stays in force, the applied offset never decreases, and a
+    # snapshot from the log or from a peer ends the wait.
     Given a configuration log whose records are contract, version, version, snapshot of 2, version
     When a process that applied configuration 0 goes on at 4
     Then it has applied configuration 0 and waiting is yes
@@ -103,30 +103,30 @@
     When a peer hands over its configuration
     Then it has applied configuration 4 and waiting is no
 
-  Scenario: A process that waits names its gap too
+  Scenario: A process that waits for a snapshot still reports a gap
     Given a configuration log whose records are version, version, version, version
     When a process starts where the configuration log begins at 2
     And the configuration record at 9 is applied
     Then the configuration gap is 4 before 9 and -1 is applied
 
-  Scenario: What is in force is bounded, and a process that starts from a snapshot knows the bound
-    # Contracts fill what may be in force. One more is void, with the reason, at a process that
-    # folded everything and at one that began with a snapshot alike: no other verdict may differ.
+  Scenario: The size of the configuration is bounded, also after a start from a snapshot
+    # Once contracts fill the maximum size, one more is void with a reason. A process that applied
+    # every record and one that started from a snapshot must give the same verdict.
     When large configuration contracts are folded until one is void
     Then its configuration verdict is no room: 1048576 bytes are in force at most
     And a process that starts from a configuration snapshot gives the same verdict
 
-  Scenario: A snapshot that would take back what is in force is refused
-    # Somebody appends a snapshot that another stream, or a faulty program, gave. Taking it over
-    # would revert an accepted contract, so the process keeps waiting instead.
+  Scenario: A snapshot that would revert an accepted record is rejected
+    # A snapshot of another stream or of a faulty program is handed over. Installing it would
+    # revert an accepted record, so the state stays as it is.
     Given a configuration of 3 versions
     When a configuration snapshot through 9 without anything is handed over
     Then that configuration record is void and 2 is applied
 
-  Scenario: A snapshot from a peer that is behind changes nothing
+  Scenario: A snapshot from a peer with fewer records changes nothing
     Given a configuration of 3 versions
     When the configuration of a peer with 2 versions is handed over
     Then that configuration record is ignored and 2 is applied
 
-  Scenario: However a process came to its records, it has the same configuration in force
+  Scenario: The state does not depend on how a process received the records
     Then every way through a random configuration log ends in the same state
--- a/features/configuration_support.py
+++ b/features/configuration_support.py
@@ -1,4 +1,4 @@
-"""Records and logs for the steps about the configuration stream."""
+"""Creates records and logs for the steps about the configuration stream."""
 
 import json
 
@@ -45,7 +45,7 @@
 
 
 def read_value(configuration, text):
-    """Return the record that a few words of a table stand for."""
+    """Return the record that a cell of a table describes."""
     words = text.split()
     if text.startswith("{"):
         return json.loads(text.replace(";", ","))
@@ -87,7 +87,7 @@
 
 
 def create_log(texts):
-    """Return the values of a log; a snapshot is of the state through an earlier record."""
+    """Return the values of a log; "snapshot of N" is the state after the record at offset N."""
     log = []
     for offset, text in enumerate(texts):
         words = text.split()
@@ -107,7 +107,7 @@
 
 
 def follow(configuration, log, first):
-    """Read the log as a process does: note what is gone, then apply what follows."""
+    """Read the log as a process does: record the deleted offsets, then apply the rest."""
     configuration.record_deleted(first)
     for offset in range(configuration.next_offset, len(log)):
         assert configuration.next_offset == offset
@@ -142,7 +142,7 @@
 
 
 def create_random_log(steps):
-    """Return the values of a log; a snapshot is of the state some records ago."""
+    """Return the values of a log; a snapshot covers all but some of the records before it."""
     log = []
     for step in steps:
         log.append(_create_random_value(log, step))
@@ -169,33 +169,33 @@
 
 def check_path(log, path):
     """
-    Compare a process that saw everything with one that was away while records were deleted.
+    Compare a process that applied every record with one that missed deleted records.
 
-    The second applied some records, then goes on where the log now begins, gets some of what it
-    lacks from a peer and every record several times, and at last all that a peer has.
+    The second one applies some records and resumes where the log now begins. It gets some of the
+    missing records from a peer, every record several times, and at last a peer's snapshot.
     """
     applied, first, filled, repeats = path
     first = min(first, len(log))
-    whole = fold.ConfigurationFold()
-    follow(whole, log, 0)
-    away = fold.ConfigurationFold()
-    follow(away, log[: applied + 1], 0)
-    follow(away, log, first)
-    held = [*range(applied + 1, applied + 1 + filled), *range(first, len(log))]
-    for offset in held * repeats:
-        seen = away.applied_offset
+    complete = fold.ConfigurationFold()
+    follow(complete, log, 0)
+    resumed = fold.ConfigurationFold()
+    follow(resumed, log[: applied + 1], 0)
+    follow(resumed, log, first)
+    offsets = [*range(applied + 1, applied + 1 + filled), *range(first, len(log))]
+    for offset in offsets * repeats:
+        before = resumed.applied_offset
         if offset < len(log):
-            away.apply(offset, 0, log[offset])
-        assert away.applied_offset >= seen
-    assert away.needs_snapshot == (not _can_go_on(log, applied + filled, first))
-    if away.needs_snapshot:
-        away.install_snapshot(whole.create_snapshot())
-    assert not away.needs_snapshot
-    assert away.create_snapshot() == whole.create_snapshot()
+            resumed.apply(offset, 0, log[offset])
+        assert resumed.applied_offset >= before
+    assert resumed.needs_snapshot == (not _has_no_gap(log, applied + filled, first))
+    if resumed.needs_snapshot:
+        resumed.install_snapshot(complete.create_snapshot())
+    assert not resumed.needs_snapshot
+    assert resumed.create_snapshot() == complete.create_snapshot()
 
 
-def _can_go_on(log, applied, first):
-    """Tell whether nothing is missing, or a snapshot in the log covers what is."""
+def _has_no_gap(log, applied, first):
+    """Tell whether no record is missing, or a snapshot in the log covers the missing ones."""
     if first <= applied + 1:
         return True
     return any(
--- a/features/contracts.feature
+++ b/features/contracts.feature
@@ -1,7 +1,8 @@
 Feature: Contracts
-  An operator's document is checked as a whole: every fault with its place, and a bad one changes nothing.
+  A contract is validated as a whole: all errors are reported with their locations. An invalid
+  contract has no effect.
 
-  Scenario Outline: The examples are sound and survive the log's form
+  Scenario Outline: The example contracts are valid and survive a round trip through JSON
     Given the contract example <file>
     When the contract is read
     Then the contract of <customer> has operations <operations> and trainers <trainers>
@@ -12,7 +13,7 @@
       | catania.yaml | catania  | booking, record-lookup, suggestion            | designs  |
       | caroni.yaml  | caroni   | standing-order, shipment, depot-sync, offer   | offers   |
 
-  Scenario Outline: A fault is reported with line, column, field and what would mend it
+  Scenario Outline: An error is reported with its line, column, field and fix
     Given this contract
       """
       customer: desk
@@ -53,7 +54,7 @@
       | objective: staleness | objective: both       | t:8:82 trainers[0].objective: 'both' is none of staleness, idle-time |
       | hedge_percent: 5     | hedge_percent: 101    | t:8:108 trainers[0].hedge_percent: 101 is outside 0 to 100 |
 
-    Examples: shapes and syntax
+    Examples: structure and syntax
       | old                  | new                   | findings |
       | customer: desk       | ? [a]                 | t:1:1 customer: is missing; t:1:3 ?: is no known field (known: customer, share_percent, retry_percent, operations, trainers) |
       | operations:          | operations: [1]       | t:5:3: is no YAML: expected <block end>, but found '<block sequence start>' |
@@ -63,15 +64,15 @@
       | customer: desk       | ---\n---              | t:2:1: is no YAML: but found another document |
       | customer: desk       | customer: *desk       | t:1:11: is no YAML: found undefined alias 'desk' |
 
-  Scenario: Faults in several places are reported together
+  Scenario: Errors in several fields are reported together
     Given the contract example caroni.yaml
     When priority: critical becomes priority: 1 in the contract and it is read
     Then the contract findings stand at operations[0].priority, operations[1].priority
 
-  Scenario Outline: A text that is no contract is a finding, whatever it holds
-    # The operator sees one line; the process goes on. A parser that recurses or builds objects
-    # would end it instead, so texts are bounded, only composed, and a text nested too deep is
-    # rejected as such.
+  Scenario Outline: A text that is not a contract gives a finding and no exception
+    # A parser that recurses or constructs objects could crash the process on such a text. So the
+    # size is limited, the YAML is composed without constructing objects, and a text that is nested
+    # too deeply is rejected. The operator sees one line.
     Given a contract text of <count> times <piece>
     When the contract is read
     Then the contract findings are <findings>
@@ -85,7 +86,7 @@
       | 1     | &a [*a] | t:1:1: is no mapping of fields |
       | 1     | {}    | t:1:1 customer: is missing; t:1:1 share_percent: is missing; t:1:1 retry_percent: is missing; t:1:1 operations: is missing |
 
-  Scenario Outline: JSON is read as YAML, and a JSON document names paths
+  Scenario Outline: JSON text is read as YAML, and findings in a JSON document name paths
     Given the contract text {"customer": "a", "share_percent": <share>, "retry_percent": 0, "operations": <operations>}
     When the contract is read from <form>
     Then the contract findings are <findings>
--- a/features/ending_server.py
+++ b/features/ending_server.py
@@ -1,4 +1,4 @@
-"""A server that breaks off, or ends with all its connections, while it answers."""
+"""A server that closes one connection, or ends with all of them, while it answers."""
 
 import contextlib
 import socket
@@ -8,11 +8,11 @@
 _ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
 _CUT = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"
 FATAL = b"/fatal"
-"""A request whose head has this makes it do what it was created for."""
+"""A request whose head contains this triggers the fault that the server was created with."""
 
 
 class EndingServer:
-    """Answers requests on kept connections; `does` says what a fatal one leads to."""
+    """Answers requests on persistent connections; a fatal request triggers the fault `does`."""
 
     def __init__(self, does, fatal=FATAL):
         self._does = does
@@ -22,11 +22,11 @@
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
         self.runs = 0
-        """Fatal requests that reached it."""
+        """The number of fatal requests received."""
         threading.Thread(target=self._accept, daemon=True).start()
 
     def stop(self):
-        """End like a process: nothing listens, and all connections are closed."""
+        """Stop as an ended process does: close the listener and all connections."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -65,10 +65,10 @@
 def _receive(connection):
     received = b""
     while _HEAD_END not in received:
-        piece = connection.recv(65536)
-        if not piece:
+        chunk = connection.recv(65536)
+        if not chunk:
             return b""
-        received += piece
+        received += chunk
     return received
 
 
--- a/features/http_pool.feature
+++ b/features/http_pool.feature
@@ -1,10 +1,10 @@
-Feature: Answers of many servers over kept connections
-  The server is raw: it sends the bytes given. "~" stands for the end of a line in HTTP.
+Feature: A pool of persistent HTTP connections
+  The raw server sends the given bytes. "~" stands for CR LF and "_" for LF.
 
-  Scenario Outline: Only a whole answer is one
-    # A server breaks off, or its answer is cut on the way. Taken as whole, half a body would
-    # reach the caller as a success. Only the stated length, the last chunk, or an orderly end where
-    # neither is stated, says that nothing is missing.
+  Scenario Outline: A truncated answer is an error
+    # A server closes the connection early, or the answer is cut on the way. The caller must not get
+    # half a body as a success. An answer is complete only at its stated length, after the last
+    # chunk or, if neither is stated, at an orderly end of the connection.
     Given a raw server that answers <bytes>
     When its answer is read whole
     Then the whole answer is <answer>
@@ -22,9 +22,9 @@
       | HTTP/1.1 2                                                     | cut    |
       | rubbish~~                                                      | cut    |
 
-  Scenario Outline: A stream has ended only where its last chunk was read
-    # The standard library's readline returns an empty line both for the end and for a cut, so a
-    # sample that lacks its second half would pass for whole.
+  Scenario Outline: A stream is complete only once its last chunk was read
+    # The standard library's readline returns an empty line both at the end and at a truncation, so
+    # a sample without its second half would look complete.
     Given a raw server that answers HTTP/1.1 200 OK~<bytes>
     When its answer is read by lines
     Then the lines are <lines>
@@ -38,7 +38,7 @@
       | Content-Length: 4~~a_b_                            | a b end       |
       | Content-Length: 6~~a_b_                            | a b cut       |
 
-  Scenario Outline: A connection is used again where the server keeps it
+  Scenario Outline: A connection is reused if the server keeps it open
     Given a raw server that keeps its connection and answers <bytes>
     When two requests are made one after the other
     Then the raw server saw <connections> connections
@@ -49,9 +49,10 @@
       | HTTP/1.1 200 OK~Content-Length: 2~Connection: close~~ab                               | 2           |
       | HTTP/1.1 200 OK~Content-Length: 2~Keep-Alive: timeout=0~~ab                           | 2           |
 
-  Scenario Outline: The connections of a step are kept for the next
-    # A runner has some thirty texts at an engine at once, then none until the next step. What it
-    # closes in between it opens again, and the engine pays for each. The bound guards the engine.
+  Scenario Outline: The connections of one step are reused by the next
+    # A runner has some thirty texts at an engine at once, then none until the next step. Connections
+    # closed in between have to be opened again, which costs the engine time. The limit protects the
+    # engine.
     When <used> connections to a server are no longer in use
     Then <closed> of them are closed at once
 
@@ -62,9 +63,9 @@
       | 36   | 0      |
       | 50   | 14     |
 
-  Scenario Outline: Bytes that nobody asked for are no answer to the next request
-    # A server sends a second answer. Read as the answer to the next request it would reach another
-    # caller. It comes at once or later, whole or in parts.
+  Scenario Outline: Unsolicited bytes are not read as the answer to the next request
+    # A server sends a second answer, which would reach the caller of the next request. It comes at
+    # once or later, complete or in parts.
     Given a raw server that keeps its connection and answers <bytes>
     When two requests are made one after the other
     Then the second answer is ab or a failure
@@ -76,14 +77,14 @@
       | HTTP/1.1 200 OK~Content-Length: 2~~ab then HTTP/1.1 200 OK~Content-Length: 2~~cd  |
       | HTTP/1.1 200 OK~Content-Length: 2~~ab then rubbish                                |
 
-  Scenario: A request that nobody wants any more ends soon
-    # The caller has gone, and the server would work on for nobody until the deadline.
+  Scenario: A cancelled request ends soon
+    # Otherwise the server would work until the deadline for a caller that has disconnected.
     Given a raw server that is silent
     When a request to it is cancelled after 0.2 s
     Then it ends within 1.0 s
 
-  Scenario Outline: A server that broke off is told from one that has ended
-    # Guards against a lost answer that passes for a crash, and a crash that passes for a lost answer.
+  Scenario Outline: A closed connection is distinguished from an ended server
+    # Guards against a lost answer reported as a crash, and a crash reported as a lost answer.
     Given a raw server that <does> on a <connection> connection
     When a request to it fails
     Then the failure says that the server <state>
@@ -99,7 +100,7 @@
       | is silent                 | new        | goes on  |
 
   Scenario Outline: A request that reached a server before it ended may have run
-    # Guards against a caller told "not run" of a request that ended its server.
+    # Guards against the answer "not run" for a request that crashed its server.
     Given a raw server that ends on a <connection> connection
     When a request to it fails
     Then the server began it, and the failure says that it may have
@@ -109,8 +110,8 @@
       | new        |
       | kept       |
 
-  Scenario: A server that ends under a request whose caller has left counts as ended
-    # Guards against a request that ends servers unseen because its callers leave early.
+  Scenario: A server that ends during a cancelled request is reported as ended
+    # Guards against a request that crashes servers undetected because its callers disconnect early.
     Given a raw server that ends on a kept connection
     When a request to it fails whose caller left before
     Then the failure says that the server ended
--- a/features/steps/http_pool_steps.py
+++ b/features/steps/http_pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps for answers over kept connections."""
+"""Steps for the pool of persistent connections."""
 
 import threading
 import time
@@ -110,7 +110,7 @@
 
 
 @behave.when("{count:d} connections to a server are no longer in use")
-def give_back(context, count):
+def release_connections(context, count):
     pool = http_pool.ConnectionPool()
     context.connections = [unittest.mock.Mock() for _ in range(count)]
     for connection in context.connections:
--- a/features/support.py
+++ b/features/support.py
@@ -1,4 +1,4 @@
-"""What steps share; the helpers themselves serve the demo and the bench as well."""
+"""Helpers shared by the steps; most are defined in `processes`, for the demo and the bench too."""
 
 from oleander_standins import processes
 
@@ -8,7 +8,7 @@
 
 
 def get_cluster(context):
-    """Return the scenario's cluster, which ends with it."""
+    """Return the scenario's cluster, which is stopped after the scenario."""
     if getattr(context, "cluster", None) is None:
         context.cluster = Cluster()
     return context.cluster
--- a/features/support_log.py
+++ b/features/support_log.py
@@ -1,4 +1,4 @@
-"""A log service in memory, with the failures that the real one has."""
+"""An in-memory log service that can fail like the real one."""
 
 import expression
 
@@ -11,10 +11,11 @@
 
 class MemoryLog(logservice.LogService):
     """
-    Keeps streams in memory; the next appends and reads may be told to fail.
+    Keeps streams in memory and fails as planned. While `is_down`, every call fails.
 
-    An append may be refused, lost before or after its effect, take effect late (before the append
-    that follows), or come second to the record of somebody else.
+    `append_plan` lists the behaviour of the next appends: "refused", "vanished" (error without
+    effect), "lost" (error after the effect), "late" (error; takes effect before the append that
+    follows), "second" (after `rival_value`, the record of another writer) or "ok".
     """
 
     def __init__(self):
@@ -51,8 +52,8 @@
         first = self._first_offsets.get(stream, 0)
         start = max(offset, first)
         page = tuple(
-            logservice.Record(place, 1000 * place, values[place])
-            for place in range(start, min(start + PAGE_RECORDS, len(values)))
+            logservice.Record(number, 1000 * number, values[number])
+            for number in range(start, min(start + PAGE_RECORDS, len(values)))
         )
         return expression.Ok(logservice.Page(page, first, len(values)))
 
--- a/features/tasks.feature
+++ b/features/tasks.feature
@@ -1,11 +1,11 @@
-Feature: Tasks that last as long as their process
+Feature: Tasks that run as long as their process
 
-  Scenario Outline: A lasting task that fails runs anew until the group stops
-    # A link's task dies of an unexpected error and nobody notices: the process looks healthy and
-    # never uses that sidecar again.
-    Given a group with a lasting task that fails <failures> times
+  Scenario Outline: A supervised task is restarted after an error until the group stops
+    # Otherwise an unexpected error could end the task of a link unnoticed: the process would look
+    # healthy and never use that sidecar again.
+    Given a group with a supervised task that fails <failures> times
     When the task group has run it to its end
-    Then the lasting task ran <runs> times and every thread of the group ended
+    Then the supervised task ran <runs> times and every thread of the group ended
 
     Examples:
       | failures | runs |
--- a/features/wire.feature
+++ b/features/wire.feature
@@ -1,9 +1,9 @@
 Feature: Messages between processes
-  A peer that sends anything but a message loses its own connection, and nothing else.
+  An invalid frame closes the connection of its sender and has no other effect.
 
-  Scenario Outline: A frame that is no message is rejected with the place of each fault
-    # The caller of a broken peer sees "unknown" or a retry elsewhere; the receiver keeps serving
-    # everyone else, since the fault is returned as a value and ends only that connection.
+  Scenario Outline: An invalid frame is rejected with the location of each error
+    # Callers of the faulty peer get "unknown" or a retry elsewhere. The receiver keeps serving its
+    # other peers, as the error is returned as a value and closes only that connection.
     When the frame <frame> is decoded
     Then the findings name <places>
 
@@ -22,6 +22,6 @@
     When the frame {"type": "Cancel", "request_id": "a", "added": 1} is decoded
     Then the message is a Cancel
 
-  Scenario: A snapshot is taken where it may be missing
+  Scenario: An optional field with a value is accepted
     When the frame {"type": "Records", "offsets": [], "times_ms": [], "values": [], "snapshot": {"through": 1}} is decoded
     Then the message is a Records
