--- a/features/configuration_support.py
+++ b/features/configuration_support.py
@@ -1,4 +1,4 @@
-"""Records and logs for the steps about the configuration stream."""
+"""Creates records and logs for the steps about the configuration stream."""
 
 import json
 
@@ -32,7 +32,7 @@
     return records.ContractRecord(terms, -1, "ann").to_value()
 
 
-def create_monster(what):
+def create_oversized(what):
     size = int("".join(letter for letter in what if letter.isdigit()))
     if "levels" in what:
         value = []
@@ -45,7 +45,7 @@
 
 
 def read_value(configuration, text):
-    """Return the record that a few words of a table stand for."""
+    """Return the record that a cell of a table describes."""
     words = text.split()
     if text.startswith("{"):
         return json.loads(text.replace(";", ","))
@@ -79,15 +79,15 @@
     return expression.Ok(verdict)
 
 
-def fold_versions(count, most_records):
-    configuration = fold.ConfigurationFold(most_records=most_records)
+def fold_versions(count, max_records):
+    configuration = fold.ConfigurationFold(max_records=max_records)
     for offset in range(count):
         configuration.apply(offset, 0, create_version(offset + 1))
     return configuration
 
 
 def create_log(texts):
-    """Return the values of a log; a snapshot is of the state through an earlier record."""
+    """Return the values of a log; "snapshot of N" is the state after the record at offset N."""
     log = []
     for offset, text in enumerate(texts):
         words = text.split()
@@ -107,8 +107,8 @@
 
 
 def follow(configuration, log, first):
-    """Read the log as a process does: note what is gone, then apply what follows."""
-    configuration.skip_to(first)
+    """Read the log as a process does: record the deleted offsets, then apply the rest."""
+    configuration.record_deleted(first)
     for offset in range(configuration.next_offset, len(log)):
         assert configuration.next_offset == offset
         result = configuration.apply(offset, 0, log[offset])
@@ -142,7 +142,7 @@
 
 
 def create_random_log(steps):
-    """Return the values of a log; a snapshot is of the state some records ago."""
+    """Return the values of a log; a snapshot covers all but some of the records before it."""
     log = []
     for step in steps:
         log.append(_create_random_value(log, step))
@@ -156,7 +156,7 @@
     if step[0] == "rebase":
         configuration = fold.ConfigurationFold()
         follow(configuration, log, 0)
-        held = configuration.read_in_force(step[1])
+        held = configuration.find_in_force(step[1])
         return create_contract(step[1], -1 if held is None else held.offset, "bo")
     if step[0] == "version":
         return create_version(step[2], step[1])
@@ -169,33 +169,33 @@
 
 def check_path(log, path):
     """
-    Compare a process that saw everything with one that was away while records were deleted.
+    Compare a process that applied every record with one that missed deleted records.
 
-    The second applied some records, then goes on where the log now begins, gets some of what it
-    lacks from a peer and every record several times, and at last all that a peer has.
+    The second one applies some records and resumes where the log now begins. It gets some of the
+    missing records from a peer, every record several times, and at last a peer's snapshot.
     """
     applied, first, filled, repeats = path
     first = min(first, len(log))
-    whole = fold.ConfigurationFold()
-    follow(whole, log, 0)
-    away = fold.ConfigurationFold()
-    follow(away, log[: applied + 1], 0)
-    follow(away, log, first)
-    held = [*range(applied + 1, applied + 1 + filled), *range(first, len(log))]
-    for offset in held * repeats:
-        seen = away.applied_offset
+    complete = fold.ConfigurationFold()
+    follow(complete, log, 0)
+    resumed = fold.ConfigurationFold()
+    follow(resumed, log[: applied + 1], 0)
+    follow(resumed, log, first)
+    offsets = [*range(applied + 1, applied + 1 + filled), *range(first, len(log))]
+    for offset in offsets * repeats:
+        before = resumed.applied_offset
         if offset < len(log):
-            away.apply(offset, 0, log[offset])
-        assert away.applied_offset >= seen
-    assert away.is_waiting == (not _can_go_on(log, applied + filled, first))
-    if away.is_waiting:
-        away.install_snapshot(whole.create_snapshot())
-    assert not away.is_waiting
-    assert away.create_snapshot() == whole.create_snapshot()
+            resumed.apply(offset, 0, log[offset])
+        assert resumed.applied_offset >= before
+    assert resumed.needs_snapshot == (not _has_no_gap(log, applied + filled, first))
+    if resumed.needs_snapshot:
+        resumed.install_snapshot(complete.create_snapshot())
+    assert not resumed.needs_snapshot
+    assert resumed.create_snapshot() == complete.create_snapshot()
 
 
-def _can_go_on(log, applied, first):
-    """Tell whether nothing is missing, or a snapshot in the log covers what is."""
+def _has_no_gap(log, applied, first):
+    """Tell whether no record is missing, or a snapshot in the log covers the missing ones."""
     if first <= applied + 1:
         return True
     return any(
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -161,7 +161,7 @@
         assert seen == sorted(set(seen)), f"{name} answered by {seen}"
         assert not seen or seen[-1] <= parts.number, seen
     folded, _ = parts.apply_stream()
-    assert folded.read_in_force(configuration_deployment.CUSTOMER).offset == parts.offset
+    assert folded.find_in_force(configuration_deployment.CUSTOMER).offset == parts.offset
     _SharedDeployment.is_reusable = parts is _SharedDeployment.parts
 
 
--- a/libs/contracts/oleander_contracts/readers.py
+++ b/libs/contracts/oleander_contracts/readers.py
@@ -1,9 +1,9 @@
 """
-Contracts from YAML and from the log's JSON, and back to JSON.
+Reads contracts from YAML and JSON, and writes them as JSON.
 
-Every fault is found in one reading and reported with its place. What the log holds is read by
-every process alike, so the bounds below are part of the log's format: a release that changes one
-must still read the records of the release before it in the same way.
+All errors of a contract are reported together with their locations. The limits below are part of
+the format of the log, as every process must read its records in the same way: a release that
+changes a limit must still accept and reject the records of the previous release as before.
 """
 
 import json
@@ -15,11 +15,11 @@
 from oleander_base import findings
 from oleander_contracts import contract, fields, names, nodes
 
-MOST_BYTES = 64 * 1024
-MOST_OPERATIONS = 64
-MOST_TRAINERS = 16
+MAX_CONTRACT_BYTES = 64 * 1024
+MAX_OPERATIONS = 64
+MAX_TRAINERS = 16
 RESERVED_OPERATION = "trainer"
-"""Counters of trainers stand under this word, where other words are operations."""
+"""Not allowed as an operation: names of trainer counters have it in the operation's place."""
 
 ContractResult = expression.Result[contract.Contract, findings.Findings]
 
@@ -33,18 +33,18 @@
 _PRIORITIES = {item.name.lower(): item for item in contract.Priority}
 _OBJECTIVES = {item.value: item for item in contract.Objective}
 
-_REPEATABLE_ADVICE = "true if running it twice does no harm, else false"
-_MODEL_ADVICE = "the model whose weights this trainer updates"
+_REPEATABLE_FIX = "true if running it twice does no harm, else false"
+_MODEL_FIX = "the model whose weights this trainer updates"
 
 
 def read_contract(text: str, source: str) -> ContractResult:
-    """Return the contract of a YAML or JSON text; `source` names the text in findings."""
+    """Read a contract from a YAML or JSON text; `source` names the text in findings."""
     size = len(text.encode(errors="replace"))
-    if size > MOST_BYTES:
-        return _reject(source, f"has {size} bytes, more than {MOST_BYTES}")
+    if size > MAX_CONTRACT_BYTES:
+        return _reject(source, f"has {size} bytes, more than {MAX_CONTRACT_BYTES}")
     composer = ruamel.yaml.YAML(typ="safe", pure=True)
     try:
-        # Composing builds no objects, so no tag in the text can make any.
+        # compose() constructs no Python objects, so tags in the text can't create any.
         root = composer.compose(text)
     except ruamel.yaml.error.MarkedYAMLError as error:
         return _reject(_describe_mark(error, source), f"is no YAML: {error.problem}")
@@ -56,18 +56,18 @@
 
 
 def read_document(document: typing.Any) -> ContractResult:
-    """Return the contract of a JSON document, as it stands in the log."""
+    """Read a contract from a JSON document, the form that is stored in the log."""
     try:
         size = len(json.dumps(document, separators=(",", ":")))
     except (TypeError, ValueError, RecursionError):
         return _reject("document", "is no JSON document, or is nested too deep")
-    if size > MOST_BYTES:
-        return _reject("document", f"has {size} bytes, more than {MOST_BYTES}")
-    return _read_root(nodes.DocumentNode(document))
+    if size > MAX_CONTRACT_BYTES:
+        return _reject("document", f"has {size} bytes, more than {MAX_CONTRACT_BYTES}")
+    return _read_root(nodes.JsonNode(document))
 
 
 def write_document(terms: contract.Contract) -> dict[str, typing.Any]:
-    """Return a contract as a JSON document, every field written out."""
+    """Return a contract as a JSON document that includes fields with default values."""
     return {
         "customer": terms.customer,
         "share_percent": terms.share_percent,
@@ -124,18 +124,18 @@
 
 
 def read_terms(node: nodes.Node, found: list[findings.Finding]) -> contract.Contract:
-    """Return the contract of a node; it is of no use if anything was found."""
+    """Read a contract from a node; it is valid only if nothing was added to `found`."""
     reader = fields.FieldReader(node, found)
     customer = reader.read_name("customer")
     if customer == names.OPERATOR:
         found.append(findings.Finding(reader.find_place("customer"), "is kept for operators"))
     share_percent = reader.read_integer("share_percent", _SHARE_PERCENT)
     retry_percent = reader.read_integer("retry_percent", _PERCENT)
-    operations = reader.read_items("operations", MOST_OPERATIONS, required=True)
-    trainers = reader.read_items("trainers", MOST_TRAINERS, required=False)
-    reader.check_unknown()
-    seen_operations = _NameCheck(found)
-    seen_trainers = _NameCheck(found)
+    operations = reader.read_items("operations", MAX_OPERATIONS, required=True)
+    trainers = reader.read_items("trainers", MAX_TRAINERS, required=False)
+    reader.report_unknown()
+    seen_operations = _UniqueNames(found)
+    seen_trainers = _UniqueNames(found)
     return contract.Contract(
         customer=customer,
         share_percent=share_percent,
@@ -145,15 +145,15 @@
     )
 
 
-class _NameCheck:
-    """Finds names that stand twice in one list."""
+class _UniqueNames:
+    """Reports names that occur twice in one list."""
 
     def __init__(self, found: list[findings.Finding]) -> None:
         self._found = found
         self._places: dict[str, str] = {}
 
     def read_name(self, reader: fields.FieldReader) -> str:
-        """Return the name of an item."""
+        """Return the name of an item; add a finding if an earlier item has it."""
         name = reader.read_name("name")
         place = reader.find_place("name")
         if name in self._places:
@@ -165,35 +165,35 @@
 
 
 def _read_operation(
-    node: nodes.Node, found: list[findings.Finding], seen: _NameCheck
+    node: nodes.Node, found: list[findings.Finding], seen: _UniqueNames
 ) -> contract.Operation:
     reader = fields.FieldReader(node, found)
     operation = contract.Operation(
         name=seen.read_name(reader),
         backend=reader.read_name("backend"),
         priority=reader.read_choice("priority", _PRIORITIES),
-        repeatable=reader.read_boolean("repeatable", _REPEATABLE_ADVICE),
+        repeatable=reader.read_boolean("repeatable", _REPEATABLE_FIX),
         timeout_ms=reader.read_integer("timeout_ms", _TIMEOUT_MS),
         worth=reader.read_integer("worth", _WORTH, _DEFAULT_WORTH),
         generates=reader.read_boolean("generates", default=False),
     )
-    reader.check_unknown()
+    reader.report_unknown()
     if operation.name == RESERVED_OPERATION:
         found.append(findings.Finding(reader.find_place("name"), "is kept for trainers"))
     return operation
 
 
 def _read_trainer(
-    node: nodes.Node, found: list[findings.Finding], seen: _NameCheck
+    node: nodes.Node, found: list[findings.Finding], seen: _UniqueNames
 ) -> contract.TrainerTerms:
     reader = fields.FieldReader(node, found)
     trainer = contract.TrainerTerms(
         name=seen.read_name(reader),
         backend=reader.read_name("backend"),
-        model=reader.read_name("model", _MODEL_ADVICE),
+        model=reader.read_name("model", _MODEL_FIX),
         staleness_bound=reader.read_integer("staleness_bound", _STALENESS),
         objective=reader.read_choice("objective", _OBJECTIVES),
         hedge_percent=reader.read_integer("hedge_percent", _PERCENT),
     )
-    reader.check_unknown()
+    reader.report_unknown()
     return trainer
--- a/libs/platform/oleander_platform/http_hostlist.py
+++ b/libs/platform/oleander_platform/http_hostlist.py
@@ -8,12 +8,12 @@
 from oleander_platform import hostlist
 
 _STATUS_OK = 200
-_MOST_PORT = 65535
+_MAX_PORT = 65535
 _STATES = {state.value: state for state in hostlist.HostState}
 
 
 class HttpHostList(hostlist.HostList):
-    """Reads the list on a connection kept for each thread; a list with a fault is no list."""
+    """Reads the list on one connection per thread; one invalid entry makes it an error."""
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -21,7 +21,7 @@
     def read(
         self, deadline: clock.Deadline
     ) -> expression.Result[tuple[hostlist.Host, ...], hostlist.HostListError]:
-        """Return every host that the platform knows, live or leaving."""
+        """Return all live and leaving hosts."""
         request = http_exchange.Request("GET", "/hosts")
         answered = self._caller.call_idempotent(request, deadline)
         if answered.is_error():
@@ -58,4 +58,4 @@
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _MOST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _MAX_PORT
--- a/libs/platform/oleander_platform/http_logservice.py
+++ b/libs/platform/oleander_platform/http_logservice.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP."""
+"""A client of the log service over HTTP."""
 
 import json
 import typing
@@ -8,9 +8,9 @@
 from oleander_base import clock, http_exchange, json_input, metrics
 from oleander_platform import logservice
 
-_MOST_RECORDS = 500
+_MAX_RECORDS = 500
 _STATUS_OK = 200
-_STATUSES_WITHOUT_EFFECT = (429, 503)
+_NOT_APPENDED_STATUSES = (429, 503)
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _PLACE = "answer"
 
@@ -18,7 +18,7 @@
 
 
 class HttpLogService(logservice.LogService):
-    """Appends on a new connection each time, reads on one kept for each thread."""
+    """Appends on a new connection each time and reads on one persistent connection per thread."""
 
     def __init__(self, base_url: str) -> None:
         self._caller = http_exchange.HttpCaller(base_url)
@@ -26,9 +26,9 @@
     def append(
         self, stream: str, values: list[dict[str, typing.Any]], deadline: clock.Deadline
     ) -> expression.Result[int, logservice.LogError]:
-        """Append records together; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
         body = json.dumps({"records": values}).encode()
-        request = http_exchange.Request("POST", _name_path(stream), body, _JSON_HEADERS)
+        request = http_exchange.Request("POST", _build_path(stream), body, _JSON_HEADERS)
         received = _check_answer(self._caller.call_once(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
@@ -37,33 +37,33 @@
         if answer.take_count("count") != len(values):
             answer.reject("count", "differs from the records sent")
         if not answer.is_valid:
-            return expression.Error(_reject_answer(answer))
+            return expression.Error(_report_malformed(answer))
         return expression.Ok(first_offset)
 
     def read(
         self, stream: str, offset: int, wait_ms: int, deadline: clock.Deadline
     ) -> expression.Result[logservice.Page, logservice.LogError]:
         """
-        Return records from an offset on, waiting a while for the first new one.
+        Return records from an offset on, waiting up to `wait_ms` for the first one.
 
-        The wait is cut to half of the time left, so that an empty page comes before the deadline.
-        A record that is no object reads as an empty one: it keeps its offset, and a record
-        written by mistake can't stop everyone who reads the stream.
+        The wait is limited to half of the remaining time, so that an empty page arrives before
+        the deadline. A record that is not a JSON object is returned as an empty one with its
+        offset, as otherwise one record written by mistake would block all readers of the stream.
         """
         wait_ms = min(wait_ms, deadline.remaining_ms // 2)
-        query = f"?offset={offset}&limit={_MOST_RECORDS}&wait_ms={wait_ms}"
-        request = http_exchange.Request("GET", _name_path(stream) + query)
+        query = f"?offset={offset}&limit={_MAX_RECORDS}&wait_ms={wait_ms}"
+        request = http_exchange.Request("GET", _build_path(stream) + query)
         received = _check_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
             return expression.Error(received.error)
         answer = received.ok
         page = _read_page(answer, offset)
         if not answer.is_valid:
-            return expression.Error(_reject_answer(answer))
+            return expression.Error(_report_malformed(answer))
         return expression.Ok(page)
 
 
-def _name_path(stream: str) -> str:
+def _build_path(stream: str) -> str:
     return f"/streams/{http_exchange.quote_segment(stream)}/records"
 
 
@@ -71,29 +71,29 @@
     answered: expression.Result[http_exchange.Answer, http_exchange.ExchangeError],
 ) -> _Received:
     """
-    Return the answer's body where the call succeeded.
+    Return a reader of the answer's body if the call succeeded.
 
-    Only a refused connection and the two statuses that promise it are taken as proof that nothing
-    was appended: after anything else the records may appear, even later.
+    Only a refused connection and the statuses 429 and 503 prove that nothing was appended. After
+    any other failure the records may be in the log, or appear in it later.
     """
     if answered.is_error():
         refused = answered.error.reach is http_exchange.Reach.REFUSED
-        return expression.Error(_fail(answered.error.detail, not refused, 0))
+        return expression.Error(_count_failure(answered.error.detail, not refused, 0))
     answer = answered.ok
     if answer.status != _STATUS_OK:
-        may_have_effect = answer.status not in _STATUSES_WITHOUT_EFFECT
+        may_have_effect = answer.status not in _NOT_APPENDED_STATUSES
         detail = f"the log answered with status {answer.status}"
-        return expression.Error(_fail(detail, may_have_effect, answer.retry_after_ms))
+        return expression.Error(_count_failure(detail, may_have_effect, answer.retry_after_ms))
     return expression.Ok(json_input.read_object(_PLACE, answer.body))
 
 
-def _fail(detail: str, may_have_effect: bool, retry_after_ms: int) -> logservice.LogError:
+def _count_failure(detail: str, may_have_effect: bool, retry_after_ms: int) -> logservice.LogError:
     metrics.count(metrics.LOG_FAILED_CALLS)
     return logservice.LogError(detail, may_have_effect, retry_after_ms)
 
 
-def _reject_answer(answer: json_input.ObjectReader) -> logservice.LogError:
-    return _fail(f"malformed answer: {answer.found}", True, 0)
+def _report_malformed(answer: json_input.ObjectReader) -> logservice.LogError:
+    return _count_failure(f"malformed answer: {answer.found}", True, 0)
 
 
 def _read_page(answer: json_input.ObjectReader, offset: int) -> logservice.Page:
--- a/libs/platform/oleander_platform/keyed_follower.py
+++ b/libs/platform/oleander_platform/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Follows a keyed topic of the platform's log: the newest value of each key."""
+"""Follows a keyed topic of the platform's log, of which the newest value of each key counts."""
 
 import abc
 
@@ -6,42 +6,42 @@
 from oleander_platform import recordlog
 
 _WAIT_MS = 1000
-"""A silent connection must be noticed while a change can still be in force in time."""
+"""Short enough that a change takes effect in time even if the connection has become silent."""
 _READ_SECONDS = 1.4
-"""Above the wait by a slow store's answer."""
+"""Longer than the wait for records by the time of a slow answer."""
 _PROBE_SECONDS = 0.6
-"""For a read while the log is away, which waits for no record."""
-_AGAIN_SECONDS = 0.2
-"""Between tries while the log does not answer: five calls a second."""
+"""For a read while the log is unavailable, which does not wait for records."""
+_RETRY_SECONDS = 0.2
+"""Delay between reads while the log does not answer, which limits the calls to five a second."""
 _PARTITION = 0
 
 
 class KeyedSink(abc.ABC):
-    """Takes in what a keyed topic says."""
+    """Receives the contents and the changes of a keyed topic."""
 
     @abc.abstractmethod
     def put(self, key: str, value: bytes) -> None:
-        """Take in the newest value of a key."""
+        """Store the newest value of a key."""
 
     @abc.abstractmethod
-    def drop(self, key: str) -> None:
-        """Take in that a key is gone."""
+    def delete(self, key: str) -> None:
+        """Delete a key."""
 
     @abc.abstractmethod
-    def keep_only(self, keys: set[str]) -> None:
-        """Take in all keys that there are, after a whole reading."""
+    def retain_only(self, keys: set[str]) -> None:
+        """Delete all keys but these; called with the keys of a full read, before their values."""
 
     @abc.abstractmethod
-    def note_current(self) -> None:
-        """Take in that the topic was read to its end."""
+    def mark_current(self) -> None:
+        """Record that the values are current; called after each successful read."""
 
 
 class KeyedFollower:
     """
-    Reads one keyed topic into a sink, whole at first and then as it grows.
+    Reads one keyed topic into a sink: all keys first, then new records.
 
-    The log may drop old records at any time. Whoever had not read them would miss a change for
-    ever, so a gap leads to another whole reading; the newest record of each key is always kept.
+    The log may delete old records at any time, except the newest record of each key. A reader
+    that had not read the deleted ones would miss a change, so a gap causes another full read.
     """
 
     def __init__(
@@ -52,52 +52,53 @@
         group: tasks.TaskGroup,
         pause_seconds: float,
     ) -> None:
-        """Pause between reads, which bounds the calls where a topic changes all the time."""
+        """Set the pause between reads, which limits the calls on a topic that changes often."""
         self._log = log_service
         self._topic = topic
         self._sink = sink
         self._group = group
         self._pause_seconds = pause_seconds
         self._next_offset: int | None = None
-        self._was_lost = False
+        self._is_log_lost = False
 
     def follow(self) -> None:
         """Read until the group stops."""
         while not self._group.is_stopping:
-            succeeded = self._read_whole() if self._next_offset is None else self._read_on()
-            self._note(succeeded)
-            self._group.pause(self._pause_seconds if succeeded else _AGAIN_SECONDS)
+            succeeded = self._read_all() if self._next_offset is None else self._read_new()
+            self._record_result(succeeded)
+            self._group.pause(self._pause_seconds if succeeded else _RETRY_SECONDS)
 
-    def _note(self, succeeded: bool) -> None:
+    def _record_result(self, succeeded: bool) -> None:
         if succeeded:
-            self._sink.note_current()
-        if self._was_lost == succeeded:
-            self._was_lost = not succeeded
+            self._sink.mark_current()
+        if self._is_log_lost == succeeded:
+            self._is_log_lost = not succeeded
             event = "dependency-regained" if succeeded else "dependency-lost"
             log.logger.bind(event=event, topic=self._topic).info("the platform's log")
 
-    def _read_whole(self) -> bool:
+    def _read_all(self) -> bool:
         newest = self._log.read_newest(self._topic, clock.start_deadline(_READ_SECONDS))
         if newest.is_error():
             log.warn_bounded(f"unread-{self._topic}", newest.error.detail)
             return False
         records, next_offset = newest.ok
-        self._sink.keep_only({item.key for item in records if item.value is not None})
+        self._sink.retain_only({item.key for item in records if item.value is not None})
         for item in records:
-            self._take(item)
+            self._apply(item)
         self._next_offset = next_offset
         return True
 
-    def _read_on(self) -> bool:
+    def _read_new(self) -> bool:
         """
-        Read what is new, waiting for it unless the log was away.
+        Read new records; wait for the first one unless the log was unavailable.
 
-        Only an answer shows that the log is back. Where nothing changes it would come after the
-        whole wait, and the process would refuse its callers for a second longer than it must.
+        Only an answer shows that the log is available again. If nothing changes, a read that
+        waits is answered after the full wait, and the process would refuse its callers for a
+        second longer than necessary.
         """
         offset = self._next_offset or 0
-        wait_ms = 0 if self._was_lost else _WAIT_MS
-        deadline = clock.start_deadline(_PROBE_SECONDS if self._was_lost else _READ_SECONDS)
+        wait_ms = 0 if self._is_log_lost else _WAIT_MS
+        deadline = clock.start_deadline(_PROBE_SECONDS if self._is_log_lost else _READ_SECONDS)
         read = self._log.read(self._topic, _PARTITION, offset, wait_ms, deadline)
         if read.is_error():
             log.warn_bounded(f"unread-{self._topic}", read.error.detail)
@@ -106,20 +107,20 @@
         if page.first_offset > offset:
             log.logger.bind(
                 event="log-gap", topic=self._topic, read_to=offset, first=page.first_offset
-            ).info("reading the newest of each key")
+            ).info("records were deleted before they were read: reading all keys again")
             self._next_offset = None
-            return self._read_whole()
+            return self._read_all()
         for record in page.records:
-            item = recordlog.read_keyed(record)
+            item = recordlog.decode_keyed(record)
             if item is None:
-                log.warn_bounded(f"record-{self._topic}", "a malformed record is passed over")
+                log.warn_bounded(f"record-{self._topic}", "a malformed record is ignored")
             else:
-                self._take(item)
+                self._apply(item)
         self._next_offset = page.next_offset
         return True
 
-    def _take(self, item: recordlog.KeyedRecord) -> None:
+    def _apply(self, item: recordlog.KeyedRecord) -> None:
         if item.value is None:
-            self._sink.drop(item.key)
+            self._sink.delete(item.key)
         else:
             self._sink.put(item.key, item.value)
