--- a/features/sample_steps_readers.feature
+++ b/features/sample_steps_readers.feature
@@ -21,15 +21,15 @@
 
     Examples:
       | text            | problem                                |
-      | x               | 'x' is not a number or range           |
-      | -1              | '-1' is not a number or range          |
-      | 1,              | '' is not a number or range            |
-      | 1, 2            | ' 2' is not a number or range          |
-      | ٣               | '٣' is not a number or range           |
-      | 99999999999     | '99999999999' is not a number or range |
-      | 3-1             | '3-1' is not in ascending order        |
-      | 1-4,4           | '4' is not in ascending order          |
-      | 0-9,0-9         | '0-9' is not in ascending order        |
+      | x               | 'x' is no number or range              |
+      | -1              | '-1' is no number or range             |
+      | 1,              | '' is no number or range               |
+      | 1, 2            | ' 2' is no number or range             |
+      | ٣               | '٣' is no number or range              |
+      | 99999999999     | '99999999999' is no number or range    |
+      | 3-1             | '3-1' does not ascend                  |
+      | 1-4,4           | '4' does not ascend                    |
+      | 0-9,0-9         | '0-9' does not ascend                  |
       | 5-10            | '5-10' is outside 0-9                  |
 
   Scenario: A step is read
@@ -58,14 +58,14 @@
       """
     Then the sample findings are
       | place                | problem                              |
-      | step                 | is not an integer of at most 15 digits |
-      | incarnation          | is not an integer                    |
+      | step                 | is no whole number of at most 15 digits |
+      | incarnation          | is no whole number                   |
       | version              | is missing                           |
-      | groups[1]            | is not an object                     |
+      | groups[1]            | is no object                         |
       | groups[0].samples    | is not from 1 to 16384               |
-      | groups[2].prompt     | contains an unpaired surrogate       |
-      | groups[2].prefix     | is not a string                      |
-      | groups[2].samples    | is not an integer                    |
+      | groups[2].prompt     | holds half of a surrogate pair       |
+      | groups[2].prefix     | is no text                           |
+      | groups[2].samples    | is no whole number                   |
       | groups[2].max_tokens | is missing                           |
 
   Scenario Outline: A step that exceeds a limit is rejected
--- a/libs/batches/oleander_batches/content.py
+++ b/libs/batches/oleander_batches/content.py
@@ -136,9 +136,7 @@
             if read.is_error():
                 return expression.Error(read.error)
             if offset not in read.ok:
-                return expression.Error(
-                    JournalFailure("the submission is no longer in the log", False)
-                )
+                return expression.Error(JournalFailure("a submission is not kept any more", False))
             while offset < end and offset in read.ok:
                 content += read.ok[offset]
                 offset += 1
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -167,7 +167,7 @@
             results.append(decoded.ok)
         if not results:
             return expression.Error(
-                content.JournalFailure("the result's content is no longer in the log", False)
+                content.JournalFailure("a result's content is not kept any more", False)
             )
         return expression.Ok(ResultPage(batch.total, tuple(results)))
 
--- a/libs/batches/oleander_batches/submission.py
+++ b/libs/batches/oleander_batches/submission.py
@@ -145,7 +145,7 @@
     try:
         return expression.Ok(build(cbor2.loads(content)))
     except (cbor2.CBORDecodeError, ValueError, TypeError, IndexError, KeyError) as error:
-        return expression.Error(findings.Finding(place, f"can't be decoded: {error!r}"[:200]))
+        return expression.Error(findings.Finding(place, f"can't be read: {error!r}"[:200]))
 
 
 def _build_submission(fields: typing.Any) -> Submission:
--- a/libs/samples/oleander_samples/json_fields.py
+++ b/libs/samples/oleander_samples/json_fields.py
@@ -60,7 +60,7 @@
         """Return an integer from minimum to maximum, both included; the minimum if invalid."""
         value = self._content.get(name)
         if type(value) is not int:
-            self._reject(name, "is not an integer", f"give one from {minimum} to {maximum}")
+            self._reject(name, "is no whole number", f"give one from {minimum} to {maximum}")
             return minimum
         if not minimum <= value <= maximum:
             self._reject(name, f"is not from {minimum} to {maximum}")
@@ -71,11 +71,11 @@
         """Return a string of at most `max_bytes` in UTF-8; an empty one if invalid."""
         value = self._content.get(name)
         if not isinstance(value, str):
-            self._reject(name, "is not a string")
+            self._reject(name, "is no text")
             return ""
         size = _measure_utf8_bytes(value)
         if size is None:
-            self._reject(name, "contains an unpaired surrogate", "send whole characters")
+            self._reject(name, "holds half of a surrogate pair", "send whole characters")
             return ""
         if size > max_bytes:
             self._reject(name, f"has {size} bytes, more than {max_bytes}")
@@ -90,7 +90,7 @@
         """
         value = self._content.get(name)
         if not isinstance(value, list) or not value:
-            self._reject(name, "is not a non-empty list")
+            self._reject(name, "is no list with an entry")
             return []
         if len(value) > max_entries:
             self._reject(name, f"has {len(value)} entries, more than {max_entries}")
@@ -101,7 +101,7 @@
     def _read_entry(self, item: object, place: str) -> "FieldReader | None":
         if isinstance(item, dict):
             return FieldReader(item, f"{self._place}{place}.", self._found)
-        self._found.add(self._place + place, "is not an object")
+        self._found.add(self._place + place, "is no object")
         return None
 
     def _reject(self, name: str, problem: str, fix: str = "") -> None:
@@ -118,9 +118,9 @@
     try:
         content = json.loads(body.decode("utf-8"))
     except (ValueError, RecursionError) as error:
-        return _reject_body(f"is not valid JSON in UTF-8: {str(error)[:100]}")
+        return _reject_body(f"is not JSON in UTF-8: {str(error)[:100]}")
     if not isinstance(content, dict):
-        return _reject_body("is not a JSON object")
+        return _reject_body("is no JSON object")
     return expression.Ok(content)
 
 
--- a/libs/samples/oleander_samples/number_sets.py
+++ b/libs/samples/oleander_samples/number_sets.py
@@ -24,13 +24,13 @@
     for part in text.split(",") if text else ():
         match = _PART.fullmatch(part)
         if match is None:
-            return _reject(part, "is not a number or range", "write for example 0-5,9")
+            return _reject(part, "is no number or range", "write for example 0-5,9")
         first = int(match[1])
         last = int(match[2] or first)
         if first < lowest or last < first:
-            return _reject(part, "is not in ascending order", "sort the numbers, without overlaps")
+            return _reject(part, "does not ascend", "sort the numbers and merge neighbours")
         if last >= total:
-            return _reject(part, f"is outside 0-{total - 1}", "list only samples of this step")
+            return _reject(part, f"is outside 0-{total - 1}", "name only this step's samples")
         numbers.update(range(first, last + 1))
         lowest = last + 1
     return expression.Ok(frozenset(numbers))
--- a/libs/samples/oleander_samples/readers.py
+++ b/libs/samples/oleander_samples/readers.py
@@ -77,7 +77,7 @@
 
 def _read_step_number(text: str, found: json_fields.FindingList) -> int:
     if _STEP_TEXT.fullmatch(text) is None:
-        found.add("step", "is not an integer of at most 15 digits")
+        found.add("step", "is no whole number of at most 15 digits")
         return 0
     return int(text)
 
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -97,11 +97,9 @@
             if trainer is None or step.incarnation > trainer.incarnation:
                 return self._open(step, terms)
             if step.incarnation < trainer.incarnation:
-                return _refuse(
-                    RefusalReason.SUPERSEDED, f"incarnation {trainer.incarnation} is newer"
-                )
+                return _refuse(RefusalReason.SUPERSEDED, f"incarnation {trainer.incarnation}")
             if step.step < trainer.step:
-                return _refuse(RefusalReason.SUPERSEDED, f"step {trainer.step} is newer")
+                return _refuse(RefusalReason.SUPERSEDED, f"step {trainer.step}")
             if step.step > trainer.step or trainer.open_step is None:
                 return self._open(step, terms)
             return _update_registered(trainer.open_step, step)
@@ -202,7 +200,7 @@
 ) -> expression.Result[collector.StepCollector, StepRefusal]:
     """Apply a repeated registration, or refuse it if its groups differ."""
     if known.digest != step.digest:
-        return _refuse(RefusalReason.CONFLICT, "the step is registered with different groups")
+        return _refuse(RefusalReason.CONFLICT, "the step was registered with other groups")
     if step.held is None:
         known.record_version(step.version)
     else:
--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -97,9 +97,9 @@
         if len(batch.result_locations) <= after and not self._refresh(
             clock.read_now() - _MAX_INDEX_AGE_SECONDS
         ):
-            return _build_error(BatchFault.UNSURE, "the batch index can't be read")
+            return _build_error(BatchFault.UNSURE, "the index can't be read")
         if self._journal.index.is_unreachable:
-            return _build_error(BatchFault.UNSURE, "the log does not answer this entry")
+            return _build_error(BatchFault.UNSURE, "the log does not answer here")
         listing = self._journal.read_results(
             batch, after, clock.start_deadline(_READ_TIMEOUT_SECONDS)
         )
@@ -154,7 +154,7 @@
         """
         batch = self._journal.index.find(batch_id)
         if batch is None and not self._refresh(clock.read_now()):
-            return _build_error(BatchFault.UNSURE, "the batch index can't be read")
+            return _build_error(BatchFault.UNSURE, "the index can't be read")
         batch = batch or self._journal.index.find(batch_id)
         if batch is None or not _is_accessible(batch, organisation):
             return _build_error(BatchFault.MISSING, "no such batch")
@@ -166,7 +166,7 @@
         log.logger.bind(event="batch-refused", batch=batch_id, call=call).info(
             "the log does not answer this process"
         )
-        return _build_error(BatchFault.REFUSED, "the log does not answer this entry")
+        return _build_error(BatchFault.REFUSED, "the log does not answer here")
 
     def _refresh(self, since: float) -> bool:
         if self._journal.index.is_unreachable:
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -310,9 +310,7 @@
         every response from now on closes its connection instead.
         """
         deadline = clock.start_deadline(self._settings.grace_seconds - _STOP_MARGIN_SECONDS)
-        log.logger.bind(event="stopping", running=self._batch_runner.running).info(
-            "draining requests and batches"
-        )
+        log.logger.bind(event="stopping", running=self._batch_runner.running).info("finishing")
         self._leaving.set()
         self._version_reconciler.stop()
         if self._usage_reporter is not None:
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -354,4 +354,4 @@
         gap_ms=attempt.longest_gap_ms,
         server_ended=attempt.server_ended,
         reason=attempt.reason,
-    ).info("attempt failed" if attempt.reason else "text complete")
+    ).info("broke off" if attempt.reason else "whole")
--- a/programs/oleanderdeal/oleanderdeal/trainer_api.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_api.py
@@ -55,7 +55,7 @@
         if not _NUMBER_PATTERN.fullmatch(version_text) or uri is None:
             place = "body.uri" if uri is None else "path version"
             return http_messages.answer_findings(
-                findings.Findings((findings.Finding(place, "is missing or invalid"),))
+                findings.Findings((findings.Finding(place, "is missing or wrong"),))
             )
         deadline = clock.start_deadline(_PUBLISH_TIMEOUT_SECONDS)
         published = self._versions.publish(customer, model, int(version_text), uri, deadline)
@@ -77,7 +77,7 @@
         if self._is_draining():
             return http_messages.answer_problem(
                 http_messages.Problem(
-                    503, "This entry is shutting down.", "not-run", "leaving", _RETRY_AFTER_MS
+                    503, "This entry is leaving.", "not-run", "leaving", _RETRY_AFTER_MS
                 )
             )
         terms = self._find_terms(customer, trainer)
@@ -152,7 +152,7 @@
         return http_messages.answer_problem(
             http_messages.Problem(
                 503,
-                "Too many steps are open at this entry.",
+                "Too many steps are open here.",
                 "not-run",
                 reason.value,
                 _RETRY_AFTER_MS,
@@ -174,7 +174,7 @@
 
 def _answer_not_found(reason: str) -> http_messages.HttpAnswer:
     return http_messages.answer_problem(
-        http_messages.Problem(404, "There is no such resource at this entry.", "not-run", reason)
+        http_messages.Problem(404, "There is no such thing here.", "not-run", reason)
     )
 
 
@@ -187,6 +187,6 @@
         case _:
             return http_messages.answer_problem(
                 http_messages.Problem(
-                    409, "The pull was superseded by a newer one.", "not-run", refusal.reason.value
+                    409, "A newer pull took its place.", "not-run", refusal.reason.value
                 )
             )
--- a/programs/oleanderdeal/oleanderdeal/version_publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/version_publisher.py
@@ -51,7 +51,7 @@
         return expression.Error(
             PublishError(
                 504,
-                "The version was not read back from the log in time.",
+                "The version was not read back.",
                 "unknown",
                 "too-late",
                 1000,
@@ -71,7 +71,7 @@
             return None
         return PublishError(
             503,
-            "The log is unavailable.",
+            "The log is down.",
             "not-run",
             "log-down",
             max(200, appended.error.retry_after_ms),
