--- a/features/configuration_fold.feature
+++ b/features/configuration_fold.feature
@@ -71,7 +71,7 @@
 
   Scenario: Records are handed over in batches of bounded size
     Given a configuration of 10 versions
-    When a peer with configuration 2 asks for pieces of 1 byte
+    When a peer with configuration 2 asks for records of at most 1 byte
     Then the peer gets the configuration records 3
 
   Scenario Outline: A process that starts after records were deleted waits for a snapshot
--- a/features/steps/configuration_fold_steps.py
+++ b/features/steps/configuration_fold_steps.py
@@ -76,29 +76,29 @@
 @behave.when("a peer with configuration {applied:d} asks for what follows")
 def ask_for_records(context, applied):
     context.peer = support.fold_versions(applied + 1, fold.MAX_RECENT_RECORDS)
-    context.handed = context.fold.list_after(applied)
+    context.received = context.fold.list_after(applied)
 
 
-@behave.when("a peer with configuration {applied:d} asks for pieces of {most:d} byte")
-def ask_for_pieces(context, applied, most):
-    context.handed = context.fold.list_after(applied, most)
+@behave.when("a peer with configuration {applied:d} asks for records of at most {most:d} byte")
+def ask_for_batch(context, applied, most):
+    context.received = context.fold.list_after(applied, most)
 
 
 @behave.then("the peer gets the configuration {answer}")
 def check_handed(context, answer):
-    if context.handed.is_error():
+    if context.received.is_error():
         found = "snapshot"
     else:
-        offsets = [str(record.offset) for record in context.handed.ok]
+        offsets = [str(record.offset) for record in context.received.ok]
         found = " ".join(["records", *offsets])
     assert found == answer, found
 
 
 @behave.then("the peer has the same configuration")
 def check_peer(context):
-    if context.handed.is_error():
+    if context.received.is_error():
         context.peer.install_snapshot(context.fold.create_snapshot())
-    for record in context.handed.default_value(()):
+    for record in context.received.default_value(()):
         context.peer.apply(record.offset, record.logged_at_ms, record.value)
     assert context.peer.create_snapshot() == context.fold.create_snapshot()
 
--- a/features/steps/contracts_steps.py
+++ b/features/steps/contracts_steps.py
@@ -12,22 +12,22 @@
 
 
 @behave.given("the contract example {file}")
-def take_example(context, file):
+def load_example(context, file):
     context.contract_text = (_EXAMPLES / file).read_text()
 
 
 @behave.given("this contract")
-def take_text(context):
+def set_text(context):
     context.contract_text = context.text
 
 
 @behave.given("a contract text of {count:d} times {piece}")
-def take_pieces(context, count, piece):
+def set_repeated_text(context, count, piece):
     context.contract_text = piece.replace("\\0", "\0") * count
 
 
 @behave.given("the contract text {text}")
-def take_line(context, text):
+def set_line(context, text):
     context.contract_text = text
 
 
--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -29,7 +29,10 @@
     """
 
     def __init__(
-        self, caller: http_exchange.HttpCaller, request_id: str, answer: http_exchange.AnswerStream
+        self,
+        caller: http_exchange.HttpCaller,
+        request_id: str,
+        answer: http_exchange.ResponseStream,
     ) -> None:
         self._caller = caller
         self._request_id = request_id
@@ -136,7 +139,7 @@
 
 
 _ContentResult = expression.Result[json_input.ObjectReader, engine.EngineError]
-_AnswerResult = expression.Result[http_exchange.Answer, http_exchange.ExchangeError]
+_AnswerResult = expression.Result[http_exchange.Response, http_exchange.ExchangeError]
 
 
 def _create_post(path: str, content: dict[str, typing.Any]) -> http_exchange.Request:
--- a/libs/base/oleander_base/http_exchange.py
+++ b/libs/base/oleander_base/http_exchange.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Answer:
+class Response:
     """A complete response."""
 
     status: int
@@ -65,7 +65,7 @@
     return urllib.parse.quote(text, safe="")
 
 
-class AnswerStream:
+class ResponseStream:
     """A response being received; only `abort` may be called from another thread."""
 
     def __init__(self, connection: http_connection.Connection, request: Request) -> None:
@@ -99,18 +99,18 @@
             return expression.Error(self._describe(ValueError("a line was cut or is too long")))
         return expression.Ok(line)
 
-    def read_body(self) -> expression.Result[Answer, ExchangeError]:
+    def read_body(self) -> expression.Result[Response, ExchangeError]:
         """Return the complete response; a body shorter than its stated length is an error."""
         try:
-            return expression.Ok(self.receive_answer())
+            return expression.Ok(self.receive_response())
         except _FAILURES as error:
             return expression.Error(self._describe(error))
 
-    def receive_answer(self) -> Answer:
+    def receive_response(self) -> Response:
         """Return the complete response and leave the connection open; raise on failure."""
         body = _receive_body(self._response)
         self._response.close()
-        return Answer(self.status, self.retry_after_ms, body)
+        return Response(self.status, self.retry_after_ms, body)
 
     def abort(self) -> None:
         """Shut the connection down, which ends a read that blocks in another thread."""
@@ -167,7 +167,7 @@
 
     def open_stream(
         self, request: Request, deadline: clock.Deadline
-    ) -> expression.Result[AnswerStream, ExchangeError]:
+    ) -> expression.Result[ResponseStream, ExchangeError]:
         """
         Send a request on a new connection and return its response as it arrives.
 
@@ -178,14 +178,14 @@
         if opened.is_error():
             return expression.Error(opened.error)
         try:
-            return expression.Ok(AnswerStream(connection, request))
+            return expression.Ok(ResponseStream(connection, request))
         except _FAILURES as error:
             connection.close()
             return expression.Error(describe_failure(error))
 
     def call_once(
         self, request: Request, deadline: clock.Deadline
-    ) -> expression.Result[Answer, ExchangeError]:
+    ) -> expression.Result[Response, ExchangeError]:
         """
         Send a request that is not idempotent, on a new connection.
 
@@ -201,7 +201,7 @@
 
     def call_idempotent(
         self, request: Request, deadline: clock.Deadline
-    ) -> expression.Result[Answer, ExchangeError]:
+    ) -> expression.Result[Response, ExchangeError]:
         """Send a request on the idle connection, and again on a new one if that was closed."""
         connection = self._take_connection()
         was_idle = connection.is_open
@@ -240,10 +240,10 @@
 
 def _exchange(
     connection: http_connection.Connection, request: Request, deadline: clock.Deadline
-) -> expression.Result[Answer, Exception]:
+) -> expression.Result[Response, Exception]:
     connection.set_deadline(deadline)
     try:
-        return expression.Ok(AnswerStream(connection, request).receive_answer())
+        return expression.Ok(ResponseStream(connection, request).receive_response())
     except _FAILURES as error:
         connection.close()
         return expression.Error(error)
--- a/libs/base/oleander_base/http_pool.py
+++ b/libs/base/oleander_base/http_pool.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class WholeAnswer:
+class Response:
     """A complete response."""
 
     status: int
@@ -88,7 +88,7 @@
         request: PoolRequest,
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
-    ) -> expression.Result["PooledAnswer", http_exchange.ExchangeError]:
+    ) -> expression.Result["PooledResponse", http_exchange.ExchangeError]:
         """Send a request and return its response once the head has been received."""
         reused = self._take_idle(request.address) if request.may_reuse else None
         if reused is not None:
@@ -109,7 +109,7 @@
         request: PoolRequest,
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
-    ) -> expression.Result[WholeAnswer, http_exchange.ExchangeError]:
+    ) -> expression.Result[Response, http_exchange.ExchangeError]:
         """Send a request and return its complete response."""
         opened = self.open(request, deadline, is_cancelled)
         if opened.is_error():
@@ -188,7 +188,7 @@
         request: PoolRequest,
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
-    ) -> expression.Result["PooledAnswer", Exception]:
+    ) -> expression.Result["PooledResponse", Exception]:
         connection.set_deadline(deadline, is_cancelled)
         try:
             connection.putrequest(
@@ -203,10 +203,10 @@
         except _FAILURES as error:
             connection.close()
             return expression.Error(error)
-        return expression.Ok(PooledAnswer(self, request.address, connection, response))
+        return expression.Ok(PooledResponse(self, request.address, connection, response))
 
 
-class PooledAnswer:
+class PooledResponse:
     """A response being received; not thread-safe."""
 
     def __init__(
@@ -256,7 +256,7 @@
         line, end, self._buffer = self._buffer.partition(b"\n")
         return expression.Ok(line + end)
 
-    def read_whole(self) -> expression.Result[WholeAnswer, http_exchange.ExchangeError]:
+    def read_whole(self) -> expression.Result[Response, http_exchange.ExchangeError]:
         """Return the complete response; a truncated one is an error."""
         body = bytearray()
         try:
@@ -267,7 +267,7 @@
         except _FAILURES as error:
             self.close()
             return expression.Error(self._describe(error))
-        answer = WholeAnswer(self.status, self.headers, bytes(body), self._is_framed)
+        answer = Response(self.status, self.headers, bytes(body), self._is_framed)
         self._finish()
         return expression.Ok(answer)
 
--- a/libs/contracts/oleander_contracts/differences.py
+++ b/libs/contracts/oleander_contracts/differences.py
@@ -5,7 +5,7 @@
 
 from oleander_contracts import contract, readers
 
-_LISTS = ("operations", "trainers")
+_LIST_FIELDS = ("operations", "trainers")
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -38,15 +38,15 @@
 def _flatten(document: dict[str, typing.Any]) -> dict[str, str]:
     fields = {}
     for name, value in document.items():
-        if name not in _LISTS:
-            fields[name] = _show(value)
+        if name not in _LIST_FIELDS:
+            fields[name] = _format_value(value)
             continue
         for item in value:
             for key, part in item.items():
                 if key != "name":
-                    fields[f"{name}.{item['name']}.{key}"] = _show(part)
+                    fields[f"{name}.{item['name']}.{key}"] = _format_value(part)
     return fields
 
 
-def _show(value: typing.Any) -> str:
+def _format_value(value: typing.Any) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/libs/contracts/oleander_contracts/fold.py
+++ b/libs/contracts/oleander_contracts/fold.py
@@ -200,7 +200,7 @@
     def _apply_next(self, kept: windows.KeptRecord) -> in_force.Verdict:
         match records.read_record(kept.value):
             case expression.Result(tag="ok", ok=record):
-                verdict = self._state.fold(kept.offset, record)
+                verdict = self._state.apply(kept.offset, record)
                 self._record_snapshot(kept.offset, record)
             case expression.Result(error=found):
                 # Any writer to the log may append an invalid record. An exception would crash
--- a/libs/contracts/oleander_contracts/state.py
+++ b/libs/contracts/oleander_contracts/state.py
@@ -60,15 +60,15 @@
         """The newest trainer incarnations, by customer and trainer."""
         return self._trainers
 
-    def fold(self, offset: int, record: records.Record) -> in_force.Verdict:
+    def apply(self, offset: int, record: records.Record) -> in_force.Verdict:
         """Apply the next record and return the verdict on it."""
         match record:
             case records.ContractRecord():
-                return self._fold_contract(offset, record)
+                return self._apply_contract(offset, record)
             case records.VersionRecord():
-                return self._fold_version(offset, record)
+                return self._apply_version(offset, record)
             case records.TrainerRecord():
-                return self._fold_trainer(offset, record)
+                return self._apply_trainer(offset, record)
             case records.SnapshotRecord():
                 return _check_snapshot(offset, record)
         return _ignore("a kind that this release does not know")
@@ -98,7 +98,7 @@
     def _list_items(self) -> list[_Item]:
         return [*self._contracts.values(), *self._versions.values(), *self._trainers.values()]
 
-    def _fold_contract(self, offset: int, record: records.ContractRecord) -> in_force.Verdict:
+    def _apply_contract(self, offset: int, record: records.ContractRecord) -> in_force.Verdict:
         current = self._contracts.get(record.customer)
         # Two operators who edit the same version both name it as the base. The first record in
         # the log replaces that version, so the second has an outdated base and is void.
@@ -109,7 +109,7 @@
         item = in_force.ContractInForce(record.contract, offset, record.by)
         return self._replace_item(self._contracts, record.customer, item)
 
-    def _fold_version(self, offset: int, record: records.VersionRecord) -> in_force.Verdict:
+    def _apply_version(self, offset: int, record: records.VersionRecord) -> in_force.Verdict:
         current = self._versions.get(record.model)
         if current is not None and record.version < current.version:
             return _void(current, f"version {current.version} is in force")
@@ -118,7 +118,7 @@
         item = in_force.ModelVersion(record.model, record.version, offset, record.uri, record.by)
         return self._replace_item(self._versions, record.model, item)
 
-    def _fold_trainer(self, offset: int, record: records.TrainerRecord) -> in_force.Verdict:
+    def _apply_trainer(self, offset: int, record: records.TrainerRecord) -> in_force.Verdict:
         key = (record.customer, record.trainer)
         current = self._trainers.get(key)
         if current is not None and record.incarnation <= current.incarnation:
@@ -132,13 +132,13 @@
         self, table: dict[typing.Any, typing.Any], key: typing.Any, item: _Item
     ) -> in_force.Verdict:
         current = table.get(key)
-        grown = self._bytes + _measure_item(item) - (_measure_item(current) if current else 0)
-        if grown > MAX_STATE_BYTES:
+        new_size = self._bytes + _measure_item(item) - (_measure_item(current) if current else 0)
+        if new_size > MAX_STATE_BYTES:
             return _void(current, f"no room: {MAX_STATE_BYTES} bytes are in force at most")
         offset = _read_offset(current)
         invariants.require(item.offset > offset, "in-force-offset-grows", f"{key}: {offset}")
         table[key] = item
-        self._bytes = grown
+        self._bytes = new_size
         return in_force.Verdict(in_force.Decision.ACCEPTED, "", item.offset, item.by)
 
 
--- a/libs/platform/oleander_platform/http_logservice.py
+++ b/libs/platform/oleander_platform/http_logservice.py
@@ -68,7 +68,7 @@
 
 
 def _check_answer(
-    answered: expression.Result[http_exchange.Answer, http_exchange.ExchangeError],
+    answered: expression.Result[http_exchange.Response, http_exchange.ExchangeError],
 ) -> _Received:
     """
     Return a reader of the answer's body if the call succeeded.
--- a/programs/oleanderdeal/oleanderdeal/entry_clients.py
+++ b/programs/oleanderdeal/oleanderdeal/entry_clients.py
@@ -80,7 +80,7 @@
 
 
 def _parse_object(
-    answer: http_exchange.Answer,
+    answer: http_exchange.Response,
 ) -> expression.Result[dict[str, typing.Any], EntryError]:
     if answer.status != http.HTTPStatus.OK:
         return expression.Error(EntryError(f"answered {answer.status}"))
