--- a/features/steps/front_modules_steps.py
+++ b/features/steps/front_modules_steps.py
@@ -12,7 +12,7 @@
 import json, runpy, sys
 sys.path.insert(0, "platform")
 import run_front
-run_front.find_libraries()
+run_front.add_library_paths()
 from oleander_adapter import front
 print(json.dumps(sorted(sys.modules)))
 """
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -14,7 +14,7 @@
 
 import ending_server
 import raw_server
-from oleander_adapter import boot, operator, sampler_calls, samplers, store
+from oleander_adapter import boot, operator_records, server_calls, server_records, store
 from oleander_base import clock, http_pool
 from oleander_direct import directory, servers
 from oleander_routing import router
@@ -121,7 +121,7 @@
 @behave.given("the registrations good and {key} with {change}")
 def put_registrations(context, key, change):
     context.known = _create_directory()
-    sink = samplers.ServerSink(context.known)
+    sink = server_records.ServerSink(context.known)
     sink.put("good", json.dumps(_REGISTRATION).encode())
     if change.startswith("bytes "):
         sink.put(key, change.removeprefix("bytes ").encode())
@@ -145,7 +145,7 @@
     context.now = 1000.0
     with unittest.mock.patch.object(clock, "read_now", lambda: context.now):
         context.known = _create_directory()
-        sink = samplers.ServerSink(context.known)
+        sink = server_records.ServerSink(context.known)
         sink.put("good", json.dumps(_REGISTRATION).encode())
         sink.note_current()
         context.now += silent
@@ -166,7 +166,7 @@
 def put_configuration(context, change):
     context.known = _create_directory()
     value = json.dumps(_change(_CONFIGURATION, change)).encode()
-    operator.OperatorSink(context.known).put("config", value)
+    operator_records.OperatorSink(context.known).put("config", value)
 
 
 @behave.then("this configuration is {verdict}")
@@ -177,7 +177,7 @@
 @behave.given("the configurations {first:d} and then {second:d}")
 def put_two(context, first, second):
     context.known = _create_directory()
-    sink = operator.OperatorSink(context.known)
+    sink = operator_records.OperatorSink(context.known)
     for version in (first, second):
         sink.put("config", json.dumps(_CONFIGURATION | {"version": version}).encode())
 
@@ -190,7 +190,7 @@
 @behave.given("a stream after event {last:d} of {lines}")
 def read_events(context, last, lines):
     pieces = [f"{line}\n".encode() for line in lines.split(",")]
-    stream = sampler_calls.SamplerStream(Lines(pieces), last, lambda: False)
+    stream = server_calls.ServerSentEventStream(Lines(pieces), last, lambda: False)
     context.events = []
     while True:
         read = stream.read_event()
@@ -212,7 +212,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write("\n".join(lines))
         file.flush()
-        context.boot = boot.read_boot(file.name)
+        context.boot = boot.read_boot_settings(file.name)
 
 
 def _format_toml(value):
@@ -252,7 +252,7 @@
 
 @behave.when("an entry asks for its state and orders it to load weights, {times:d} times")
 def order_engine(context, times):
-    caller = sampler_calls.SamplerCaller(http_pool.ConnectionPool())
+    caller = server_calls.HttpServerCaller(http_pool.ConnectionPool())
     address = context.engine.url.removeprefix("http://")
     engine = servers.Server("i-1", 1, "desk", address, "z", 8, False, ())
     order = servers.VersionOrder("m", 2, True, "holder", 7, 4)
