--- a/features/deployments.py
+++ b/features/deployments.py
@@ -205,7 +205,7 @@
             return now + self._ended_process_runs.get(key, 0)
 
     def is_ready(self, entry):
-        """Return whether an entry passes its readiness check."""
+        """Return whether an entry's readiness check allows a load balancer to send to it."""
         try:
             return support.call("GET", f"{self.cluster.url(entry)}/readyz").status == 200
         except (OSError, http.client.HTTPException):
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -33,7 +33,7 @@
 
 
 class _SharedDeployment:
-    """A deployment shared by scenarios; one that fails to restore it causes a new start."""
+    """A deployment shared by scenarios; replaced after one that failed or did not restore it."""
 
     parts = None
     is_reusable = False
