--- a/features/front_platform.py
+++ b/features/front_platform.py
@@ -17,14 +17,14 @@
     def __init__(self, window_seconds=0):
         """Report use where its windows have a length."""
         self.store = platform_standin.Store()
-        self.engine = platform_standin.Sampler("engine-1")
-        self.service = platform_standin.Sampler("desk-1")
+        self.engine = platform_standin.BackendServer("engine-1")
+        self.service = platform_standin.BackendServer("desk-1")
         self.store.put("keyed.op", "config", platform_messages.describe_configuration(3))
-        for sampler, service in ((self.engine, "engines"), (self.service, "desk")):
-            content = platform_messages.describe_server(sampler, service)
-            self.store.put("keyed.servers", sampler.name, content)
+        for server, service in ((self.engine, "engines"), (self.service, "desk")):
+            content = platform_messages.describe_server(server, service)
+            self.store.put("keyed.servers", server.name, content)
         self._temporary = tempfile.TemporaryDirectory()
-        self.duties = platform_standin.Duties()
+        self.duties = platform_standin.UsageCollector()
         more = ""
         if window_seconds:
             more = front_programs.describe_duties(self.duties.address, window_seconds)
@@ -34,8 +34,8 @@
 
     def stop(self):
         self.end()
-        for stand in (self.store, self.engine, self.service, self.duties):
-            stand.stop()
+        for standin in (self.store, self.engine, self.service, self.duties):
+            standin.stop()
         self._temporary.cleanup()
 
 
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -48,8 +48,8 @@
     def __init__(self, seed, fronts=3, services=2, engines=2):
         self.random = random.Random(seed)
         self.store = platform_standin.Store()
-        self.engines = [platform_standin.Sampler(f"engine-{n}") for n in range(engines)]
-        self.services = [platform_standin.Sampler(f"desk-{n}") for n in range(services)]
+        self.engines = [platform_standin.BackendServer(f"engine-{n}") for n in range(engines)]
+        self.services = [platform_standin.BackendServer(f"desk-{n}") for n in range(services)]
         self.store.put("keyed.op", "config", platform_messages.describe_configuration(3))
         self._lock = threading.Lock()
         for sampler in (*self.engines, *self.services):
--- a/features/platform_messages.py
+++ b/features/platform_messages.py
@@ -73,16 +73,16 @@
     return json.dumps(submitted).encode()
 
 
-def describe_server(sampler, service):
+def describe_server(server, service):
     """Return a registration as a server writes it."""
     return {
         "service": service,
-        "address": sampler.address,
+        "address": server.address,
         "zone": "z",
         "version": "v1",
         "slots": 8,
         "state": "ready",
         "cold_remaining_ms": 0,
-        "models": [{"name": "m", "version": sampler.version, "adapters": []}],
+        "models": [{"name": "m", "version": server.version, "adapters": []}],
         "sequence": 1,
     }
--- a/features/platform_standin.py
+++ b/features/platform_standin.py
@@ -11,8 +11,8 @@
 import time
 import urllib.parse
 
-_LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">QQ")
+_LENGTH_PREFIX = struct.Struct(">I")
+_PAGE_HEADER = struct.Struct(">QQ")
 _HOST = "127.0.0.1"
 EVENTS = 5
 FATAL_BODY = b"fatal"
@@ -21,7 +21,7 @@
 """Longer than the program waits for any answer of the store."""
 
 
-def frame_keyed(key, value):
+def encode_keyed_record(key, value):
     """Return a record of a keyed topic."""
     return bytes([len(key)]) + key.encode() + value
 
@@ -74,14 +74,14 @@
     def handle_error(self, request, client_address):
         """Say nothing: clients that are killed leave in the middle of answers."""
 
-    def cut_all(self):
+    def close_connections(self):
         """Close every connection, whatever is in progress on it."""
         for request in list(self._open):
             with contextlib.suppress(OSError):
                 request.shutdown(socket.SHUT_RDWR)
 
 
-class Stand:
+class HttpStandin:
     """One HTTP server of the stand-in."""
 
     def __init__(self):
@@ -99,7 +99,7 @@
         """End like a process that is killed: nothing listens, all connections are closed."""
         self._server.socket.shutdown(socket.SHUT_RDWR)
         self._server.server_close()
-        self._server.cut_all()
+        self._server.close_connections()
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
     def start_again(self):
@@ -112,7 +112,7 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
 
-class Store(Stand):
+class Store(HttpStandin):
     """The platform's store: partitions of records, newest of keys, one member that gets all."""
 
     def __init__(self, partitions=4):
@@ -122,14 +122,14 @@
         self.slow_seconds = 0.0
         self._members = {}
         self._generation = 0
-        self._dealt = {}
+        self._assigned = {}
         self._partitions = partitions
         self._changed = threading.Condition()
         self._records = collections.defaultdict(list)
 
     def put(self, topic, key, content):
         with self._changed:
-            self._records[topic, 0].append(frame_keyed(key, json.dumps(content).encode()))
+            self._records[topic, 0].append(encode_keyed_record(key, json.dumps(content).encode()))
             self._changed.notify_all()
 
     def answer(self, handler, path, query, body):
@@ -145,7 +145,7 @@
     def _answer_append(self, handler, query, body):
         records = []
         while body:
-            (length,) = _LENGTH.unpack_from(body)
+            (length,) = _LENGTH_PREFIX.unpack_from(body)
             records.append(body[4 : 4 + length])
             body = body[4 + length :]
         with self._changed:
@@ -166,8 +166,8 @@
             while len(held) <= offset and time.monotonic() < until:
                 self._changed.wait(until - time.monotonic())
             records = held[offset:]
-            head = _HEAD.pack(len(held), 0)
-        handler.send(200, head + b"".join(_LENGTH.pack(len(r)) + r for r in records))
+            head = _PAGE_HEADER.pack(len(held), 0)
+        handler.send(200, head + b"".join(_LENGTH_PREFIX.pack(len(r)) + r for r in records))
 
     def _answer_newest(self, handler, query, body):
         with self._changed:
@@ -184,21 +184,21 @@
         topic, ttl_ms = asked["topics"][0], asked["ttl_ms"]
         with self._changed:
             self._members[asked["group"], asked["member"]] = time.monotonic() + ttl_ms / 1000
-            dealt = self._deal(asked["group"])
+            dealt = self._assign_partitions(asked["group"])
             mine = [part for part, member in dealt.items() if member == asked["member"]]
             generation = self._generation
         rows = [[topic, partition, 0] for partition in mine]
         handler.send_json({"generation": generation, "ttl_ms": ttl_ms, "parts": rows})
 
-    def _deal(self, group):
+    def _assign_partitions(self, group):
         """Deal partitions out evenly, by the order of names, to the members heard in time."""
         now = time.monotonic()
         members = sorted(
             m for (g, m), until in self._members.items() if g == group and until > now
         )
         dealt = {part: members[part % len(members)] for part in range(self._partitions)}
-        if self._dealt.get(group) != dealt:
-            self._dealt[group] = dealt
+        if self._assigned.get(group) != dealt:
+            self._assigned[group] = dealt
             self._generation += 1
         return dealt
 
@@ -209,7 +209,7 @@
         handler.send_json({})
 
 
-class Sampler(Stand):
+class BackendServer(HttpStandin):
     """One backend server: streams items, answers calls, takes orders."""
 
     def __init__(self, name):
@@ -258,7 +258,7 @@
         if not path.startswith("/items/"):
             time.sleep(self.event_seconds)
             if is_lost:
-                _break_off(handler)
+                _abort_connection(handler)
                 return
             handler.send(200, b"answer to " + body, headers)
             return
@@ -270,14 +270,14 @@
         for number in range(int(handler.headers.get("Last-Event-Id") or 0) + 1, EVENTS + 1):
             time.sleep(self.event_seconds)
             if is_lost and number > EVENTS // 2:
-                _break_off(handler)
+                _abort_connection(handler)
                 return
             event = f"id: {number}\ndata: {request_id}.{number}\n\n".encode()
             handler.wfile.write(b"%x\r\n%b\r\n" % (len(event), event))
         handler.wfile.write(b"0\r\n\r\n")
 
 
-class Duties(Stand):
+class UsageCollector(HttpStandin):
     """The platform where duties are done: keeps reports of use and what is wrong with them."""
 
     def __init__(self):
@@ -299,7 +299,7 @@
         handler.send(200)
 
 
-def _break_off(handler):
+def _abort_connection(handler):
     """Close a connection in the middle of an answer."""
     handler.close_connection = True
     with contextlib.suppress(OSError):
--- a/features/steps/organisations_front_steps.py
+++ b/features/steps/organisations_front_steps.py
@@ -10,7 +10,7 @@
 import platform_messages
 
 _UNKNOWN = "unheard-of-key"
-_IN_FORCE_SECONDS = 3.0
+_MAX_PROPAGATION_SECONDS = 3.0
 _PAUSE_SECONDS = 0.05
 
 
@@ -51,15 +51,15 @@
     made_up = [("X-Oleanderdeal-Tenant", "blue"), ("X-Oleanderdeal-Duty-Holder", "me")]
     status, _, _ = _call(context, "r1", request_id="mine", headers=made_up)
     assert status == 200, status
-    headers = _find_seen(context.front.service, "mine")
+    headers = _find_seen_headers(context.front.service, "mine")
     assert headers.get("X-Oleanderdeal-Tenant") == "red", headers
     assert "Authorization" not in headers, headers
     assert "X-Oleanderdeal-Duty-Holder" not in headers, headers
 
 
-def _find_seen(sampler, request_id):
+def _find_seen_headers(server, request_id):
     """Return the headers of a request that a server saw; its names are spelled as on the pages."""
-    headers = next(seen[3] for seen in sampler.seen if seen[0] == request_id)
+    headers = next(seen[3] for seen in server.seen if seen[0] == request_id)
     return {name.title(): value for name, value in headers.items()}
 
 
@@ -75,7 +75,7 @@
 @behave.then("a call without a key is answered 200 on the public route, for nobody")
 def check_public(context):
     assert _call(context, "", "/open/a", "visitor")[0] == 200
-    assert "X-Oleanderdeal-Tenant" not in _find_seen(context.front.service, "visitor")
+    assert "X-Oleanderdeal-Tenant" not in _find_seen_headers(context.front.service, "visitor")
 
 
 def _submit(context, key, batch_id, items):
@@ -102,10 +102,10 @@
 def check_batch_run(context):
     assert _submit(context, "r1", "batch-1", 2) == 202
     _wait_results(context, "r1", "batch-1", 2)
-    headers = _find_seen(context.front.engine, "batch-1-0")
+    headers = _find_seen_headers(context.front.engine, "batch-1-0")
     assert headers.get("X-Oleanderdeal-Tenant") == "red", headers
     assert "Authorization" not in headers, headers
-    scoring = _find_seen(context.front.service, "score-batch-1-0")
+    scoring = _find_seen_headers(context.front.service, "score-batch-1-0")
     assert "X-Oleanderdeal-Tenant" not in scoring, scoring
 
 
@@ -138,13 +138,15 @@
     seconds = next((float(word) for word in words if word[0].isdigit()), 0.0)
     if "down" in words or "silent" in words:
         name = "is_down" if "down" in words else "is_silent"
-        _trouble(seconds, lambda on: setattr(store, name, on), lambda: _change_keys(context, 5))
+        _switch_during(
+            seconds, lambda on: setattr(store, name, on), lambda: _change_keys(context, 5)
+        )
     elif "answer" in words:
         store.slow_seconds = seconds
         _change_keys(context, 5)
     elif "suspended" in words:
         signals = {True: signal.SIGSTOP, False: signal.SIGCONT}
-        _trouble(
+        _switch_during(
             seconds, lambda on: process.send_signal(signals[on]), lambda: _change_keys(context, 5)
         )
     else:
@@ -153,7 +155,7 @@
         _change_keys(context, 6)
 
 
-def _trouble(seconds, switch, action):
+def _switch_during(seconds, switch, action):
     switch(True)
     try:
         action()
@@ -170,7 +172,7 @@
     "within 3 s a call with key r1 is answered 401, with r3 run for red and with r2 for blue"
 )
 def check_changed(context):
-    until = time.monotonic() + _IN_FORCE_SECONDS
+    until = time.monotonic() + _MAX_PROPAGATION_SECONDS
     expected = [(401, None), (200, "red"), (200, "blue")]
     while (seen := [_run_for(context, key) for key in ("r1", "r3", "r2")]) != expected:
         assert time.monotonic() < until, (seen, context.front.describe())
@@ -184,7 +186,9 @@
     ran = [seen[0] for seen in context.front.service.seen]
     if request_id not in ran:
         return status, None
-    return status, _find_seen(context.front.service, request_id).get("X-Oleanderdeal-Tenant")
+    return status, _find_seen_headers(context.front.service, request_id).get(
+        "X-Oleanderdeal-Tenant"
+    )
 
 
 @behave.when("the store {is_away} for {seconds:d} s")
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -20,7 +20,7 @@
 from oleander_routing import router
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-_NAMES = re.compile(
+_PLATFORM_NAMES = re.compile(
     r"x-oleanderdeal-|/api/(log|lots|items|order|report|ready)|fencing_token|keyed\.(op|servers)"
     r"|OLEANDERDEAL_BOOT|path_prefix.*traffic_split",
     re.IGNORECASE,
@@ -69,14 +69,14 @@
 """
 
 
-class NoCaller:
+class FakeServerCaller:
     """Reaches nobody."""
 
     def close_idle(self, address):
         pass
 
 
-class Lines:
+class FakeAnswer:
     """A pooled answer of given lines; the last one without its end, if it has none."""
 
     def __init__(self, lines):
@@ -94,7 +94,7 @@
         pass
 
 
-def _change(content, change):
+def _apply_change(content, change):
     """Return a copy with a change: `nothing`, `no NAME`, or PLACE=JSON with a dotted place."""
     changed = copy.deepcopy(content)
     if change == "nothing":
@@ -115,7 +115,7 @@
 
 
 def _create_directory():
-    return directory.Directory(router.Router(1), NoCaller())
+    return directory.Directory(router.Router(1), FakeServerCaller())
 
 
 @behave.given("the registrations good and {key} with {change}")
@@ -126,7 +126,7 @@
     if change.startswith("bytes "):
         sink.put(key, change.removeprefix("bytes ").encode())
     else:
-        sink.put(key, json.dumps(_change(_REGISTRATION, change)).encode())
+        sink.put(key, json.dumps(_apply_change(_REGISTRATION, change)).encode())
 
 
 @behave.then("the servers in rotation are {names}")
@@ -165,7 +165,7 @@
 @behave.given("a configuration with {change}")
 def put_configuration(context, change):
     context.known = _create_directory()
-    value = json.dumps(_change(_CONFIGURATION, change)).encode()
+    value = json.dumps(_apply_change(_CONFIGURATION, change)).encode()
     operator_records.OperatorSink(context.known).put("config", value)
 
 
@@ -190,7 +190,7 @@
 @behave.given("a stream after event {last:d} of {lines}")
 def read_events(context, last, lines):
     pieces = [f"{line}\n".encode() for line in lines.split(",")]
-    stream = server_calls.ServerSentEventStream(Lines(pieces), last, lambda: False)
+    stream = server_calls.ServerSentEventStream(FakeAnswer(pieces), last, lambda: False)
     context.events = []
     while True:
         read = stream.read_event()
@@ -207,7 +207,7 @@
 
 @behave.given("a settings file with {change}")
 def write_settings(context, change):
-    changed = _change(tomllib.loads(_SETTINGS), change)
+    changed = _apply_change(tomllib.loads(_SETTINGS), change)
     lines = [f"{name} = {_format_toml(value)}" for name, value in changed.items()]
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write("\n".join(lines))
@@ -237,7 +237,7 @@
         for folder in ("libs", "programs", "standins", "bench")
         for path in (_ROOT / folder).rglob("*.py")
         for number, line in enumerate(path.read_text().splitlines(), 1)
-        if _NAMES.search(line)
+        if _PLATFORM_NAMES.search(line)
     ]
     assert not found, found
 
--- a/features/steps/platform_front_steps.py
+++ b/features/steps/platform_front_steps.py
@@ -186,7 +186,7 @@
 
 
 _LOADING = "loading"
-_SLOW_LIBRARY = f"""import time
+_SLOW_MODULE = f"""import time
 print("{_LOADING}", flush=True)
 time.sleep(30)
 """
@@ -197,7 +197,7 @@
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     library = pathlib.Path(folder.name) / "loguru.py"
-    library.write_text(_SLOW_LIBRARY)
+    library.write_text(_SLOW_MODULE)
     output = pathlib.Path(folder.name) / "output"
     context.loading = front_programs.start_front(
         folder.name, "", output, 0, {"PYTHONPATH": folder.name}
