--- a/features/front_modules.feature
+++ b/features/front_modules.feature
@@ -1,5 +1,5 @@
-Feature: The front program loads what it uses and nothing more
-  Its memory is paid for on every host. Most of it is libraries, and each import that nobody needs stays for as long as the program runs.
+Feature: The front program imports only the libraries that it uses
+  Libraries are most of its memory, which every host pays for, and an unneeded import is never unloaded.
 
   Scenario Outline: A library that the front program does not use
     Given the modules that the front program has loaded when it is ready to start
--- a/features/front_platform.py
+++ b/features/front_platform.py
@@ -1,4 +1,4 @@
-"""The front program on a stand-in of its platform, with one engine and one service."""
+"""Runs the front program against a stand-in of its platform, with one engine and one service."""
 
 import tempfile
 import time
@@ -12,10 +12,10 @@
 
 
 class Front(front_programs.FrontProgram):
-    """The program, with its platform."""
+    """Front program as a process, together with its stand-ins."""
 
     def __init__(self, window_seconds=0):
-        """Report use where its windows have a length."""
+        """Start the stand-ins and the program; a window of 0 s turns usage reports off."""
         self.store = platform_standin.Store()
         self.engine = platform_standin.BackendServer("engine-1")
         self.service = platform_standin.BackendServer("desk-1")
@@ -40,7 +40,7 @@
 
 
 def wait_until(condition, describe):
-    """Wait until a condition holds; past the deadline fail with what describes the state."""
+    """Wait until a condition holds; past the deadline fail with the text of `describe()`."""
     until = time.monotonic() + _WAIT_SECONDS
     while not condition():
         assert time.monotonic() < until, describe()
--- a/features/platform_adapter.feature
+++ b/features/platform_adapter.feature
@@ -1,10 +1,10 @@
-Feature: What the platform says, decoded once
-  Wire examples are written as the platform sends them; only the adapter and this test know its names.
+Feature: The adapter decodes the platform's messages
+  Examples are written as the platform sends them; only the adapter and this test know its names.
 
-  Scenario Outline: A registration that is not whole names no server to use
-    # Any program may write into the list. Bytes that can't be read, a missing field or an unknown
-    # state must neither stop the list from being followed nor bring a server into rotation; the
-    # servers of whole registrations stay.
+  Scenario Outline: A malformed registration brings no server into rotation
+    # Any program can write to the topic. Undecodable bytes, a missing field or an unknown state must
+    # neither stop the reader of the list nor bring a server into rotation; servers with valid
+    # registrations stay.
     Given the registrations good and <key> with <change>
     Then the servers in rotation are <servers>
 
@@ -37,15 +37,15 @@
       | s2   | bytes null                   | good         |
       | good | bytes not-json               | none         |
 
-  Scenario: A server that starts again under its id is a new one
-    # It knows nothing of before. What was counted against its earlier run would keep it out.
+  Scenario: A server that restarts under the same id is a new incarnation
+    # Guards against failures of the earlier process that keep the new one out of rotation.
     Given the registrations good and good with born=17
     Then the incarnation of good is good/17
 
-  Scenario Outline: Removals are put off only right after an outage
-    # Registrations lapse while the platform is away; living servers are back within two seconds of its
-    # return. Dropped at once, their callers would be refused; kept for longer, work would go to
-    # servers that are gone.
+  Scenario Outline: Removals are delayed only right after an outage
+    # Registrations expire while the platform is down; live servers register again within two seconds
+    # of its return. Removing them at once would refuse their callers; keeping them for longer would
+    # send work to servers that are gone.
     Given a list that was silent for <silent> s and then removes a server
     Then after <seconds> s more the server is <state>
 
@@ -56,7 +56,7 @@
       | 6.0    | 1.9     | in rotation  |
       | 6.0    | 2.1     | out          |
 
-  Scenario Outline: A configuration is taken whole or not at all
+  Scenario Outline: A configuration with any fault is rejected as a whole
     Given a configuration with <change>
     Then this configuration is <verdict>
 
@@ -87,13 +87,13 @@
       | tenants=[{"name":"o","api_keys":["k"],"priority":-1}]    | rejected |
       | tenants=5                                                | rejected |
 
-  Scenario: An older configuration changes nothing
+  Scenario: An older configuration is ignored
     Given the configurations 7 and then 5
     Then the version of the routes is 7
 
-  Scenario Outline: An event of a stream counts only where it follows the last
-    # An engine breaks off in an event, repeats one or leaves one out. Text with a gap or a copy
-    # would reach the trainer as a sample.
+  Scenario Outline: An event of a stream is accepted only if its id follows the last one
+    # An engine may truncate, repeat or omit an event. Text with a gap or a duplicate would reach the
+    # trainer as a sample.
     Given a stream after event <last> of <lines>
     Then its events are <events>
 
@@ -110,9 +110,9 @@
       | 0    | id: 1,data: a                                                    | broken             |
       | 0    | id: 1,data: a,data: b,                                           | a_b@3 end          |
 
-  Scenario Outline: An order goes over the connection on which its server was asked
-    # Servers take some hundred connections from all callers. One more for each order is a tenth to
-    # a fifth of all that are opened on a quiet day.
+  Scenario Outline: An order reuses the connection on which the server's state was read
+    # Servers accept some hundred connections from all callers together. One more per order would be
+    # a tenth to a fifth of all connections opened on a quiet day.
     Given a server that <keeps> its connections
     When an entry asks for its state and orders it to load weights, <times> times
     Then the server saw <requests> requests on <connections> connections, and took each order
@@ -123,7 +123,7 @@
       | keeps open  | 3     | 6        | 1           |
       | soon closes | 2     | 4        | 4           |
 
-  Scenario Outline: All faults of the settings file are told together, each with its place
+  Scenario Outline: All faults of the settings file are reported together, each with its field
     Given a settings file with <change>
     Then the settings are <verdict>
 
@@ -136,11 +136,11 @@
       | no listen                        | faulty in listen.front listen.ready |
       | bounds.grace_s="8"               | faulty in bounds.grace_s           |
 
-  Scenario: Nothing outside the platform's folder and its test knows its names
+  Scenario: No source file outside the adapter contains the platform's wire names
     Then no file of the product, its stand-ins or its bench has a name of the platform
 
-  Scenario Outline: An append that the store may have read before it ended may stand there
-    # Guards against "nothing was done" for a batch that stands in the log and will run.
+  Scenario Outline: An append whose answer is lost may have taken effect
+    # Guards against reporting "not accepted" for a batch that is in the log and will run.
     Given a store that ends while it reads an append on a <connection> connection
     When a record is appended there
     Then the append says that it may have had effect
--- a/features/platform_front.feature
+++ b/features/platform_front.feature
@@ -1,16 +1,17 @@
-Feature: The front program as a process, against a stand-in of the users' platform
-  The store, one engine and one service are stand-ins over HTTP; the program is the one that is deployed.
+Feature: The front program as a process, against a stand-in of the platform
+  The store, one engine and one service are HTTP stand-ins; the program is the one that is deployed.
 
-  Scenario: The whole path
+  Scenario: Calls, batches, weight orders and metrics from end to end
     Given the platform's stand-in and the front program
     Then a call is answered by the service, unchanged
     And a batch of 3 items is accepted, listed with scores, read again, ended
     And a version that is named is ordered once, with a fencing number
     And the metrics address shows what was done
 
-  Scenario Outline: What can't be served is told as it is
-    # A refusal says that the request has not run and when to come back; where it may have run, or a
-    # batch may yet be accepted, another word must be used. "No such batch" needs the index read.
+  Scenario Outline: Each request that can't be served gets the status for its cause
+    # A 503 promises that the request did not run and says when to retry, so a request that may have
+    # run, or a batch that may still be accepted, must get another status. A 404 for a batch is certain
+    # only after the index was read.
     Given the platform's stand-in and the front program
     When <trouble>
     Then <request> is answered <status>
@@ -27,23 +28,23 @@
       | the service goes away | a call               | 503    |
       | the service goes away | a charge             | 503    |
 
-  Scenario: A planned stop answers what runs and ends with 0
-    # The platform stops machines in turn. A request in progress is answered, a new one on a kept
-    # connection too, and its connection is closed so that the client comes elsewhere next.
+  Scenario: A planned stop answers the requests in progress and exits with 0
+    # The platform stops hosts one by one. Requests in progress and new ones on kept connections are
+    # answered, and the connection is closed so that the client's next request goes to another host.
     Given the platform's stand-in and the front program
     When it is told to stop while a call of 1.0 s runs
     Then the call is answered whole
     And it is not ready while it stops
     And it ends with exit code 0 within 8 s
 
-  Scenario: SIGHUP does not end it
+  Scenario: SIGHUP does not end the program
     Given the platform's stand-in and the front program
     When it gets SIGHUP
     Then a call is answered by the service, unchanged
 
-  Scenario Outline: A signal while it starts does what it does later
-    # Settings change, or a machine is stopped, half a second after the program began: its libraries
-    # are still being loaded. Ended by the signal it counts as a process that fell over.
+  Scenario Outline: A signal during startup has the same effect as later
+    # Settings change, or a host is stopped, half a second after the program started, while its libraries
+    # are still being imported. A process that the signal kills would count as a crash.
     Given a front program that is still loading its libraries
     When it gets <signal> meanwhile
     Then it <does>
@@ -53,6 +54,6 @@
       | SIGHUP  | goes on          |
       | SIGTERM | ends with code 0 |
 
-  Scenario: A faulty settings file is told with all its faults
+  Scenario: Every fault of a settings file is printed
     When the front program is started with a settings file that lacks ip and listen.ready
     Then it ends with exit code 2 and names ip and listen.ready
--- a/features/platform_messages.py
+++ b/features/platform_messages.py
@@ -1,4 +1,4 @@
-"""What the operator, servers and trainers of the stand-in platform write."""
+"""Messages that the operator, servers and trainers write on the stand-in platform."""
 
 import base64
 import json
@@ -7,7 +7,7 @@
 
 
 def describe_route(name, prefix, kind, service, **changes):
-    """Return a route as the operator writes it."""
+    """Return a route of the operator's configuration; `changes` replace fields."""
     route = {
         "name": name,
         "host": "h.example",
@@ -23,7 +23,7 @@
 
 
 def describe_configuration(version):
-    """Return a configuration as the operator writes it."""
+    """Return an operator's configuration with one route of each tested kind."""
     return {
         "version": version,
         "routes": [
@@ -47,7 +47,7 @@
 
 
 def describe_batch(item_ids, step=0, fatal=(), fatal_scores=()):
-    """Return the body of a batch of scored items; fatal ones end the servers that run them."""
+    """Return the body of a batch of scored items; fatal items crash the servers that run them."""
     items = [
         {
             "id": item_id,
@@ -74,7 +74,7 @@
 
 
 def describe_server(server, service):
-    """Return a registration as a server writes it."""
+    """Return the registration that a server writes."""
     return {
         "service": service,
         "address": server.address,
--- a/features/platform_standin.py
+++ b/features/platform_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' platform over HTTP: its store, one engine and one service."""
+"""HTTP stand-ins of the platform: its store, backend servers and the receiver of usage reports."""
 
 import base64
 import collections
@@ -16,13 +16,13 @@
 _HOST = "127.0.0.1"
 EVENTS = 5
 FATAL_BODY = b"fatal"
-"""A request with this body ends each server that runs it."""
+"""A request with this body crashes each server that runs it."""
 _SILENT_SECONDS = 3.0
-"""Longer than the program waits for any answer of the store."""
+"""Delay of a silent store's answers, longer than the program's timeout for any store call."""
 
 
 def encode_keyed_record(key, value):
-    """Return a record of a keyed topic."""
+    """Encode a record of a keyed topic: a byte with the key's length, the key, the value."""
     return bytes([len(key)]) + key.encode() + value
 
 
@@ -72,17 +72,17 @@
         super().shutdown_request(request)
 
     def handle_error(self, request, client_address):
-        """Say nothing: clients that are killed leave in the middle of answers."""
+        """Print no traceback: killed clients disconnect in the middle of answers."""
 
     def close_connections(self):
-        """Close every connection, whatever is in progress on it."""
+        """Close every connection, also those with a request in progress."""
         for request in list(self._open):
             with contextlib.suppress(OSError):
                 request.shutdown(socket.SHUT_RDWR)
 
 
 class HttpStandin:
-    """One HTTP server of the stand-in."""
+    """HTTP server that can be killed and restarted at the same address."""
 
     def __init__(self):
         self._serve(0)
@@ -96,14 +96,14 @@
         self._server.server_close()
 
     def end(self):
-        """End like a process that is killed: nothing listens, all connections are closed."""
+        """Simulate a killed process: stop listening and close all connections."""
         self._server.socket.shutdown(socket.SHUT_RDWR)
         self._server.server_close()
         self._server.close_connections()
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
     def start_again(self):
-        """Listen at the address that it had."""
+        """Listen again at the previous address."""
         self._serve(self._server.server_address[1])
 
     def _serve(self, port):
@@ -113,7 +113,7 @@
 
 
 class Store(HttpStandin):
-    """The platform's store: partitions of records, newest of keys, one member that gets all."""
+    """Platform store: partitioned topics, keyed topics and consumer groups."""
 
     def __init__(self, partitions=4):
         super().__init__()
@@ -191,7 +191,7 @@
         handler.send_json({"generation": generation, "ttl_ms": ttl_ms, "parts": rows})
 
     def _assign_partitions(self, group):
-        """Deal partitions out evenly, by the order of names, to the members heard in time."""
+        """Assign partitions evenly, in the order of names, to members with an unexpired TTL."""
         now = time.monotonic()
         members = sorted(
             m for (g, m), until in self._members.items() if g == group and until > now
@@ -210,7 +210,7 @@
 
 
 class BackendServer(HttpStandin):
-    """One backend server: streams items, answers calls, takes orders."""
+    """Backend server that streams items, answers calls and accepts weight orders."""
 
     def __init__(self, name):
         super().__init__()
@@ -220,11 +220,11 @@
         self.version = 1
         self.event_seconds = 0.01
         self.lost_answers = 0
-        """So many next requests run, and their answers are lost or broken off."""
+        """Number of next requests that run, but whose answers are lost or truncated."""
         self.ended_at = []
-        """When it ended under a fatal request."""
+        """Monotonic times, in seconds, at which a fatal request crashed the server."""
         self.on_ended = None
-        """Called after it has ended, to start it again."""
+        """Callback with this server after a crash, to restart it."""
 
     def answer(self, handler, path, query, body):
         if handler.headers.get("X-Oleanderdeal-Expect-Instance") != self.name:
@@ -278,7 +278,7 @@
 
 
 class UsageCollector(HttpStandin):
-    """The platform where duties are done: keeps reports of use and what is wrong with them."""
+    """Receiver of usage reports that records them and the faults found in them."""
 
     def __init__(self):
         super().__init__()
@@ -300,7 +300,7 @@
 
 
 def _abort_connection(handler):
-    """Close a connection in the middle of an answer."""
+    """Close the connection in the middle of an answer."""
     handler.close_connection = True
     with contextlib.suppress(OSError):
         handler.connection.shutdown(socket.SHUT_RDWR)
--- a/features/steps/front_modules_steps.py
+++ b/features/steps/front_modules_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the front program loads."""
+"""Steps for the modules that the front program imports."""
 
 import json
 import pathlib
--- a/features/steps/organisations_front_steps.py
+++ b/features/steps/organisations_front_steps.py
@@ -1,4 +1,4 @@
-"""Steps for organisations and keys at the front program."""
+"""Steps for organisations and their API keys, with the front program as a process."""
 
 import json
 import signal
@@ -58,7 +58,7 @@
 
 
 def _find_seen_headers(server, request_id):
-    """Return the headers of a request that a server saw; its names are spelled as on the pages."""
+    """Return the headers of a request that a server received, with names in title case."""
     headers = next(seen[3] for seen in server.seen if seen[0] == request_id)
     return {name.title(): value for name, value in headers.items()}
 
@@ -180,7 +180,7 @@
 
 
 def _run_for(context, key):
-    """Return the status of a call, and for whom a server ran it."""
+    """Return the status of a call and the organisation header that the server received."""
     request_id = f"{key}-{time.monotonic_ns()}"
     status = _call(context, key, request_id=request_id)[0]
     ran = [seen[0] for seen in context.front.service.seen]
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the adapter makes of the platform's messages."""
+"""Steps for decoding the platform's messages in the adapter."""
 
 import copy
 import json
@@ -28,7 +28,7 @@
 _CALL_SECONDS = 5.0
 _STORE_SECONDS = 2.0
 _CLOSE_SECONDS = 0.1
-"""In which a server that closes its connections has done so."""
+"""Time after which a server that closes its connections has closed them."""
 _REGISTRATION = {
     "service": "desk",
     "address": "10.0.0.1:80",
@@ -70,14 +70,14 @@
 
 
 class FakeServerCaller:
-    """Reaches nobody."""
+    """Server caller without connections."""
 
     def close_idle(self, address):
         pass
 
 
 class FakeAnswer:
-    """A pooled answer of given lines; the last one without its end, if it has none."""
+    """Pooled answer that returns the given lines, then the end of the body."""
 
     def __init__(self, lines):
         self._lines = lines
@@ -95,7 +95,7 @@
 
 
 def _apply_change(content, change):
-    """Return a copy with a change: `nothing`, `no NAME`, or PLACE=JSON with a dotted place."""
+    """Return a copy with one change: `nothing`, `no NAME`, or PATH=JSON with a dotted path."""
     changed = copy.deepcopy(content)
     if change == "nothing":
         return changed
--- a/features/steps/platform_front_steps.py
+++ b/features/steps/platform_front_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the front program as a process."""
+"""Steps that run the front program as a process against the platform stand-in."""
 
 import json
 import pathlib
