--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -80,7 +80,7 @@
     chosen = settings.read_settings(command, flags, environ).ok
     stream = io.StringIO()
     printer = output.JsonOutput if chosen.json else output.TableOutput
-    context.status = operator_commands.run_with(
+    context.status = operator_commands.run_command(
         operator_context.OperatorContext(
             settings=chosen,
             log=context.operator_log,
--- a/programs/build_binary.py
+++ b/programs/build_binary.py
@@ -9,10 +9,10 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _REQUIREMENTS = _ROOT / "requirements.txt"
 _PACKAGES = _ROOT / "build" / "packages"
-_PACKAGES_OF = _ROOT / "build" / "packages-of.txt"
-_STAGE = _ROOT / "build" / "zipapp"
+_INSTALLED_REQUIREMENTS = _ROOT / "build" / "packages-of.txt"
+_STAGING = _ROOT / "build" / "zipapp"
 _TARGET = _ROOT / "dist" / "oleanderdeal"
-_NOT_NEEDED = ("*.so", "*.dist-info", "__pycache__", "tests", "bin")
+_REMOVED_PATTERNS = ("*.so", "*.dist-info", "__pycache__", "tests", "bin")
 
 
 def install_packages() -> None:
@@ -23,7 +23,7 @@
     none; a package that stops offering one fails the build here rather than at the first start.
     """
     pinned = _REQUIREMENTS.read_text()
-    if _PACKAGES_OF.exists() and _PACKAGES_OF.read_text() == pinned:
+    if _INSTALLED_REQUIREMENTS.exists() and _INSTALLED_REQUIREMENTS.read_text() == pinned:
         return
     shutil.rmtree(_PACKAGES, ignore_errors=True)
     subprocess.run(
@@ -46,7 +46,7 @@
         ],
         check=True,
     )
-    _PACKAGES_OF.write_text(pinned)
+    _INSTALLED_REQUIREMENTS.write_text(pinned)
 
 
 def copy_sources() -> None:
@@ -56,13 +56,13 @@
         for package in root.iterdir():
             if (package / "__init__.py").exists():
                 ignore = shutil.ignore_patterns("__pycache__")
-                shutil.copytree(package, _STAGE / package.name, ignore=ignore)
+                shutil.copytree(package, _STAGING / package.name, ignore=ignore)
 
 
-def remove_unneeded() -> None:
+def remove_unused_files() -> None:
     """Drop compiled parts, which can't be loaded from an archive, and metadata."""
-    for pattern in _NOT_NEEDED:
-        for path in list(_STAGE.rglob(pattern)):
+    for pattern in _REMOVED_PATTERNS:
+        for path in list(_STAGING.rglob(pattern)):
             if path.is_dir():
                 shutil.rmtree(path)
             else:
@@ -71,15 +71,15 @@
 
 def main() -> None:
     """Build dist/oleanderdeal."""
-    shutil.rmtree(_STAGE, ignore_errors=True)
+    shutil.rmtree(_STAGING, ignore_errors=True)
     _TARGET.parent.mkdir(exist_ok=True)
-    _STAGE.parent.mkdir(exist_ok=True)
+    _STAGING.parent.mkdir(exist_ok=True)
     install_packages()
-    shutil.copytree(_PACKAGES, _STAGE)
+    shutil.copytree(_PACKAGES, _STAGING)
     copy_sources()
-    remove_unneeded()
+    remove_unused_files()
     zipapp.create_archive(
-        _STAGE, _TARGET, "/usr/bin/env python3", "oleanderdeal.main:main", compressed=True
+        _STAGING, _TARGET, "/usr/bin/env python3", "oleanderdeal.main:main", compressed=True
     )
 
 
--- a/programs/generate_pages.py
+++ b/programs/generate_pages.py
@@ -7,13 +7,13 @@
 from oleanderdeal import help_texts, setting_table
 
 _DOCS = pathlib.Path(__file__).resolve().parent.parent / "docs"
-_SETTINGS_HEAD = """# Settings
+_SETTINGS_HEADER = """# Settings
 
 Made from the table in `setting_table.py` by `make pages`. Each setting is a flag `--name` and an
 environment variable; the flag goes first. All are checked together at the start, and every fault is
 reported with its source. An unknown flag or variable with our prefix is an error that names the nearest.
 """
-_METRICS_HEAD = """# Metrics
+_METRICS_HEADER = """# Metrics
 
 Made from the table in `metrics.py` by `make pages`. Sent by UDP in statsd's form to `--statsd_host`, named
 `oleanderdeal.ROLE.NAME.` and what stands below. Counts are kept in memory too; `report` reads them.
@@ -32,9 +32,9 @@
 """
 
 
-def write_settings() -> str:
+def format_settings() -> str:
     """Return the page of settings."""
-    lines = [_SETTINGS_HEAD]
+    lines = [_SETTINGS_HEADER]
     for command in setting_table.Command:
         lines += [f"## oleanderdeal {command}", "", help_texts.summarize(command), ""]
         lines += ["| flag | variable | values | default | meaning |", "|---|---|---|---|---|"]
@@ -49,9 +49,9 @@
     return "\n".join(lines)
 
 
-def write_metrics() -> str:
+def format_metrics() -> str:
     """Return the page of metrics."""
-    lines = [_METRICS_HEAD, "| name | type | unit | meaning | when it moves |"]
+    lines = [_METRICS_HEADER, "| name | type | unit | meaning | when it moves |"]
     lines.append("|---|---|---|---|---|")
     for item in metrics.list_metrics():
         lines.append(
@@ -62,7 +62,7 @@
 
 def main() -> None:
     """Write both pages, or say which one has drifted."""
-    pages = {"SETTINGS.md": write_settings(), "METRICS.md": write_metrics()}
+    pages = {"SETTINGS.md": format_settings(), "METRICS.md": format_metrics()}
     is_check = "--check" in sys.argv
     drifted = [
         name
--- a/programs/oleanderdeal/oleanderdeal/access.py
+++ b/programs/oleanderdeal/oleanderdeal/access.py
@@ -7,7 +7,7 @@
 from oleanderdeal import setting_values
 
 OPERATOR = "operator"
-_SCHEME = "Bearer "
+_BEARER_PREFIX = "Bearer "
 
 
 class Access(enum.Enum):
@@ -30,9 +30,9 @@
 
     def check(self, customer: str, authorization: str) -> Access:
         """Return whether the header's token is this customer's or an operator's."""
-        if not authorization.startswith(_SCHEME):
+        if not authorization.startswith(_BEARER_PREFIX):
             return Access.NO_TOKEN
-        presented = authorization[len(_SCHEME) :]
+        presented = authorization[len(_BEARER_PREFIX) :]
         matches = [
             hmac.compare_digest(presented.encode(), item.token.encode())
             for item in self._tokens
--- a/programs/oleanderdeal/oleanderdeal/caller_api.py
+++ b/programs/oleanderdeal/oleanderdeal/caller_api.py
@@ -114,7 +114,7 @@
             return _build_http_answer(request, answer)
         lines = _write_lines(request, observer, first, events)
         headers = (("Trace-Id", request.trace_id),)
-        return http_messages.HttpAnswer(200, http_messages.LINES_TYPE, lines, headers)
+        return http_messages.HttpAnswer(200, http_messages.NDJSON_TYPE, lines, headers)
 
     def _release_gate_after(
         self, gate: gates.Gate, events: collections.abc.Iterator[dispatch.JobEvent]
--- a/programs/oleanderdeal/oleanderdeal/command_line.py
+++ b/programs/oleanderdeal/oleanderdeal/command_line.py
@@ -9,8 +9,8 @@
 from oleanderdeal import setting_table
 
 _PROGRAM = "oleanderdeal"
-_FORM = "settings are given as --name=value"
-_BUILT_IN_FLAGS = ("flagfile", "undefok")
+_FLAG_SYNTAX = "settings are given as --name=value"
+_ABSL_FLAGS = ("flagfile", "undefok")
 
 
 @dataclasses.dataclass(slots=True)
@@ -24,7 +24,7 @@
     faults: list[findings.Finding]
 
 
-class _RawParser(flags.ArgumentParser[str]):
+class _UncheckedParser(flags.ArgumentParser[str]):
     """Takes any text: absl would stop at the first bad value, and we report all of them."""
 
     syntactic_help = ""
@@ -44,9 +44,9 @@
 ) -> CommandLine:
     """Return what the flags say; the registry of flags lives as long as this call."""
     line = CommandLine({}, [], [])
-    kept = _drop_built_in(argv, line)
+    kept = _remove_absl_flags(argv, line)
     for argument in _parse(settings, kept, line):
-        _sort_leftover(argument, line)
+        _report_leftover(argument, line)
     return line
 
 
@@ -55,7 +55,7 @@
     values.set_gnu_getopt(True)
     for setting in settings:
         flag = flags.Flag(
-            parser=_RawParser(),
+            parser=_UncheckedParser(),
             serializer=None,
             name=setting.name,
             default=None,
@@ -66,12 +66,12 @@
     return values
 
 
-def _drop_built_in(argv: collections.abc.Sequence[str], line: CommandLine) -> list[str]:
+def _remove_absl_flags(argv: collections.abc.Sequence[str], line: CommandLine) -> list[str]:
     """Take out absl's own flags: one reads files, the other hides what was mistyped."""
     kept = []
     for argument in argv:
         name = argument.lstrip("-").partition("=")[0]
-        if argument.startswith("-") and name in _BUILT_IN_FLAGS:
+        if argument.startswith("-") and name in _ABSL_FLAGS:
             line.unknown.append(f"--{name}")
         else:
             kept.append(argument)
@@ -87,8 +87,8 @@
         try:
             leftover = values([_PROGRAM, *argv], known_only=True)[1:]
         except (flags.Error, ValueError) as error:
-            culprit = _find_culprit(argv, str(error))
-            line.faults.append(findings.Finding(argv[culprit], "can't be read", _FORM))
+            culprit = _find_rejected_argument(argv, str(error))
+            line.faults.append(findings.Finding(argv[culprit], "can't be read", _FLAG_SYNTAX))
             argv = argv[:culprit] + argv[culprit + 1 :]
             continue
         given = [values[setting.name] for setting in settings if values[setting.name].present]
@@ -96,15 +96,15 @@
         return leftover
 
 
-def _find_culprit(argv: list[str], message: str) -> int:
+def _find_rejected_argument(argv: list[str], message: str) -> int:
     """Return which argument a message of absl is about: it quotes the argument as a whole."""
     quoted = [place for place, text in enumerate(argv) if len(text) > 1 and text in message]
     return max(quoted, key=lambda place: len(argv[place]), default=len(argv) - 1)
 
 
-def _sort_leftover(argument: str, line: CommandLine) -> None:
+def _report_leftover(argument: str, line: CommandLine) -> None:
     name = argument.lstrip("-").partition("=")[0]
     if argument.startswith("-") and name:
         line.unknown.append(f"--{name}")
         return
-    line.faults.append(findings.Finding(argument, "is no flag", _FORM))
+    line.faults.append(findings.Finding(argument, "is no flag", _FLAG_SYNTAX))
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -17,19 +17,19 @@
     retrying_log,
 )
 
-_MOST_ROWS = 10_000
-_MOST_SHOWN_DIFFERENCES = 3
+_MAX_ROWS = 10_000
+_MAX_SHOWN_DIFFERENCES = 3
 _RECORD_COLUMNS = ("offset", "time", "by", "what", "base", "verdict", "why")
 _ORDER_COLUMNS = ("offset", "time", "host", "model", "version", "fencing", "outcome")
-_NOT_KNOWN = "not known"
-_NOT_KNOWN_REASON = "records before it are gone, or it is too long ago"
+_UNKNOWN_VERDICT = "not known"
+_UNKNOWN_VERDICT_REASON = "records before it are gone, or it is too long ago"
 
 
 def run_audit(context: operator_context.OperatorContext) -> int:
     """Print the trail of the configuration, and of the orders to engines."""
     log = context.open_log(context.start_deadline())
-    trail = _Trail(context.settings.customer)
-    reader = configuration_reader.ConfigurationReader(log, trail.note_record)
+    trail = _AuditTrail(context.settings.customer)
+    reader = configuration_reader.ConfigurationReader(log, trail.record_change)
     result = reader.read_to_end()
     context.output.print_table("record", _RECORD_COLUMNS, trail.list_rows(reader))
     if trail.dropped:
@@ -42,7 +42,7 @@
     return _print_orders(context, log)
 
 
-class _Trail:
+class _AuditTrail:
     """The newest records of the configuration, bounded; older ones are dropped and counted."""
 
     def __init__(self, customer: str) -> None:
@@ -51,10 +51,10 @@
         self._terms: dict[str, contract.Contract] = {}
         self.dropped = 0
 
-    def note_record(self, record: logservice.Record) -> None:
+    def record_change(self, record: logservice.Record) -> None:
         """Keep a record."""
         self._records.append(record)
-        if len(self._records) > _MOST_ROWS:
+        if len(self._records) > _MAX_ROWS:
             self._records.popleft()
             self.dropped += 1
 
@@ -75,8 +75,8 @@
         self, record: logservice.Record, verdict: in_force.Verdict | None
     ) -> output.Row:
         value = record.value
-        word = _NOT_KNOWN if verdict is None else verdict.decision.value
-        reason = _NOT_KNOWN_REASON if verdict is None else verdict.reason
+        word = _UNKNOWN_VERDICT if verdict is None else verdict.decision.value
+        reason = _UNKNOWN_VERDICT_REASON if verdict is None else verdict.reason
         what = self._describe_value(value, verdict)
         by = _read_text(value, "by")
         base = _read_text(value, "base")
@@ -103,8 +103,8 @@
         if before is None:
             return f"contract {record.customer}"
         changes = differences.list_differences(before, record.contract)
-        shown = "; ".join(str(change) for change in changes[:_MOST_SHOWN_DIFFERENCES])
-        more = len(changes) - _MOST_SHOWN_DIFFERENCES
+        shown = "; ".join(str(change) for change in changes[:_MAX_SHOWN_DIFFERENCES])
+        more = len(changes) - _MAX_SHOWN_DIFFERENCES
         return f"contract {record.customer}: {shown}{f'; {more} more' if more > 0 else ''}"
 
 
@@ -123,7 +123,7 @@
 
 def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
     """Print the orders to engines; a stream that nobody wrote to is empty."""
-    rows: collections.deque[output.Row] = collections.deque(maxlen=_MOST_ROWS)
+    rows: collections.deque[output.Row] = collections.deque(maxlen=_MAX_ROWS)
     offset = 0
     while True:
         match log.read(order_audit.STREAM, offset):
--- a/programs/oleanderdeal/oleanderdeal/commands/spread.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/propagation.py
@@ -5,13 +5,13 @@
 from oleander_base import clock
 from oleanderdeal import entry_clients, exit_codes, operator_context
 
-_CALL_SECONDS = 1.0
-_PAUSE_SECONDS = 0.2
+_CALL_TIMEOUT_SECONDS = 1.0
+_POLL_INTERVAL_SECONDS = 0.2
 
 _Answer = expression.Result[entry_clients.EntryConfiguration, entry_clients.EntryError]
 
 
-def print_spread(
+def print_propagation(
     context: operator_context.OperatorContext, offset: int, deadline: clock.Deadline
 ) -> int:
     """Ask every entry until all have the record or the time is up, and print how many have."""
@@ -21,20 +21,20 @@
     answers: dict[str, _Answer] = {}
     while True:
         for url in context.settings.entries:
-            if url not in answers or not _is_reached(answers[url], offset):
-                call = deadline.cap(_CALL_SECONDS)
+            if url not in answers or not _has_applied(answers[url], offset):
+                call = deadline.cap(_CALL_TIMEOUT_SECONDS)
                 answers[url] = context.entries.read_configuration(url, call)
-        reached = sum(_is_reached(answer, offset) for answer in answers.values())
+        reached = sum(_has_applied(answer, offset) for answer in answers.values())
         if reached == len(answers) or deadline.is_past:
             break
-        context.pause(min(_PAUSE_SECONDS, deadline.remaining))
+        context.pause(min(_POLL_INTERVAL_SECONDS, deadline.remaining))
     rows = [(url, *_describe_answer(answer, offset)) for url, answer in answers.items()]
     context.output.print_table("entry", ("entry", "in_force", "applied_offset", "peers"), rows)
     context.output.print_note(f"in force on {reached} of {len(answers)} entries")
     return exit_codes.ExitCode.OK
 
 
-def _is_reached(answer: _Answer, offset: int) -> bool:
+def _has_applied(answer: _Answer, offset: int) -> bool:
     match answer:
         case expression.Result(tag="ok", ok=configuration):
             return configuration.applied_offset >= offset
--- a/programs/oleanderdeal/oleanderdeal/commands/publish.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publish.py
@@ -5,7 +5,7 @@
 from oleander_base import clock, identifiers
 from oleander_contracts import contract, differences, in_force, records
 from oleanderdeal import exit_codes, operator_context
-from oleanderdeal.commands import contract_file, publisher, spread
+from oleanderdeal.commands import contract_file, propagation, publisher
 
 
 def run_publish(context: operator_context.OperatorContext) -> int:
@@ -25,7 +25,7 @@
         case expression.Result(tag="ok", ok=current):
             if current is not None and current.contract == terms:
                 context.output.print_note(f"in force already, at offset {current.offset}")
-                return spread.print_spread(context, current.offset, deadline)
+                return propagation.print_propagation(context, current.offset, deadline)
             _print_differences(context, current, terms)
             record = _create_record(context, current, terms)
             return _append_terms(context, attempt, record, deadline)
@@ -70,7 +70,7 @@
         context.output.print_note(f"void: {verdict.reason}")
         return exit_codes.ExitCode.VOID
     context.output.print_note(f"accepted at offset {verdict.in_force_offset}")
-    return spread.print_spread(context, verdict.in_force_offset, deadline)
+    return propagation.print_propagation(context, verdict.in_force_offset, deadline)
 
 
 def _print_differences(
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -17,7 +17,7 @@
 
     def __init__(self, log: retrying_log.RetryingLog) -> None:
         self._log = log
-        self._reader = configuration_reader.ConfigurationReader(log, self._note_record)
+        self._reader = configuration_reader.ConfigurationReader(log, self._record_own_offset)
         self._nonce = ""
         self._own_offset: int | None = None
 
@@ -43,7 +43,7 @@
                     return self._await_verdict()
                 case expression.Result(error=error):
                     may_stand = may_stand or error.may_have_effect
-            verdict = self._look_up() if may_stand else None
+            verdict = self._read_verdict() if may_stand else None
             if verdict is not None:
                 return expression.Ok(verdict)
             if self._log.is_expired:
@@ -53,21 +53,21 @@
     def _await_verdict(self) -> expression.Result[in_force.Verdict, str]:
         """Read until the record that was appended has come back."""
         while True:
-            verdict = self._look_up()
+            verdict = self._read_verdict()
             if verdict is not None:
                 return expression.Ok(verdict)
             if self._log.is_expired:
                 return expression.Error("published, but not read back in time; see audit")
             self._log.wait()
 
-    def _look_up(self) -> in_force.Verdict | None:
+    def _read_verdict(self) -> in_force.Verdict | None:
         """Read what is new, and return the verdict on the first copy of our record."""
         self._reader.read_to_end()
         if self._own_offset is None:
             return None
         return self._reader.fold.find_verdict(self._own_offset)
 
-    def _note_record(self, record: logservice.Record) -> None:
+    def _record_own_offset(self, record: logservice.Record) -> None:
         is_own = self._nonce != "" and record.value.get("nonce") == self._nonce
         if is_own and self._own_offset is None:
             self._own_offset = record.offset
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -7,9 +7,9 @@
 from oleanderdeal import configuration_reader, exit_codes, operator_context, output
 from oleanderdeal.commands import service_counts
 
-_CALL_SECONDS = 2.0
+_CALL_TIMEOUT_SECONDS = 2.0
 _DEFAULT_WORTH = 1
-_NO_PROMISE = "no contract"
+_NO_CONTRACT = "no contract"
 _NO_REQUESTS = ""
 
 _CUSTOMER_COLUMNS = ("customer", "promised_share_percent", "requests", "service_percent")
@@ -67,7 +67,7 @@
     """Add every entry's counts; return which entries did not give theirs."""
     problems = []
     for url in context.settings.entries:
-        match context.entries.read_report(url, deadline.cap(_CALL_SECONDS)):
+        match context.entries.read_report(url, deadline.cap(_CALL_TIMEOUT_SECONDS)):
             case expression.Result(tag="ok", ok=report):
                 counts.add(report.counts)
             case expression.Result(error=error):
@@ -139,7 +139,7 @@
 
     def _list_customer(self, customer: str) -> output.Row:
         terms = self._contracts.get(customer)
-        share = _NO_PROMISE if terms is None else terms.share_percent
+        share = _NO_CONTRACT if terms is None else terms.share_percent
         requests = 0
         worth_answered = 0
         worth_asked = 0
@@ -162,7 +162,7 @@
     def _describe_operation(self, customer: str, name: str) -> str:
         found = self._find_operation(customer, name)
         if found is None:
-            return _NO_PROMISE
+            return _NO_CONTRACT
         repeats = "repeatable" if found.repeatable else "at most once"
         return f"{found.priority.name.lower()}, {found.timeout_ms} ms, {repeats}"
 
@@ -170,7 +170,7 @@
         terms = self._contracts.get(customer)
         found = None if terms is None else terms.find_trainer(name)
         if found is None:
-            return _NO_PROMISE
+            return _NO_CONTRACT
         return f"at most {found.staleness_bound} behind, {found.objective.value} first"
 
 
--- a/programs/oleanderdeal/oleanderdeal/http_messages.py
+++ b/programs/oleanderdeal/oleanderdeal/http_messages.py
@@ -10,7 +10,7 @@
 
 JSON_TYPE = "application/json"
 PROBLEM_TYPE = "application/problem+json"
-LINES_TYPE = "application/x-ndjson"
+NDJSON_TYPE = "application/x-ndjson"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/programs/oleanderdeal/oleanderdeal/http_server.py
+++ b/programs/oleanderdeal/oleanderdeal/http_server.py
@@ -14,11 +14,11 @@
 from oleander_base import clock, log
 from oleanderdeal import http_messages
 
-MOST_BODY_BYTES = 8 * 1024 * 1024
-_MOST_HEADER_BYTES = 32 * 1024
-_MOST_CONNECTIONS = 1000
-_IDLE_SECONDS = 120
-_POLL_SECONDS = 0.05
+MAX_BODY_BYTES = 8 * 1024 * 1024
+_MAX_HEADER_BYTES = 32 * 1024
+_MAX_CONNECTIONS = 1000
+_IDLE_TIMEOUT_SECONDS = 120
+_POLL_INTERVAL_SECONDS = 0.05
 
 _Environ = dict[str, typing.Any]
 
@@ -49,7 +49,7 @@
     task_class = _ClosingTask
 
 
-def _never() -> bool:
+def _is_never_leaving() -> bool:
     return False
 
 
@@ -67,7 +67,7 @@
         host: str,
         port: int,
         threads: int,
-        is_leaving: collections.abc.Callable[[], bool] = _never,
+        is_leaving: collections.abc.Callable[[], bool] = _is_never_leaving,
     ) -> None:
         """Listen; answers close their connections from when the process is leaving."""
         self._handler = handler
@@ -78,10 +78,10 @@
             host=host,
             port=port,
             threads=threads,
-            connection_limit=_MOST_CONNECTIONS,
-            channel_timeout=_IDLE_SECONDS,
-            max_request_body_size=MOST_BODY_BYTES,
-            max_request_header_size=_MOST_HEADER_BYTES,
+            connection_limit=_MAX_CONNECTIONS,
+            channel_timeout=_IDLE_TIMEOUT_SECONDS,
+            max_request_body_size=MAX_BODY_BYTES,
+            max_request_header_size=_MAX_HEADER_BYTES,
             channel_request_lookahead=1,
             clear_untrusted_proxy_headers=True,
             ident="",
@@ -139,7 +139,7 @@
         """Wait until no request is in progress; return whether that was reached."""
         pause = threading.Event()
         while self._in_progress and not deadline.is_past:
-            pause.wait(_POLL_SECONDS)
+            pause.wait(_POLL_INTERVAL_SECONDS)
         return self._in_progress == 0
 
     def stop(self) -> None:
@@ -176,7 +176,7 @@
         if isinstance(parts, list):
             headers.append(("Content-Length", str(sum(len(part) for part in parts))))
         start_response(f"{answer.status} {phrase}", headers)
-        return _CountedParts(parts, lambda: self._change_in_progress(-1))
+        return _TrackedParts(parts, lambda: self._change_in_progress(-1))
 
     def _answer(self, environ: _Environ) -> http_messages.HttpAnswer:
         try:
@@ -194,7 +194,7 @@
             self._in_progress += change
 
 
-class _CountedParts:
+class _TrackedParts:
     """Parts of an answer; waitress calls close when all are sent or the client is gone."""
 
     def __init__(
--- a/programs/oleanderdeal/oleanderdeal/main.py
+++ b/programs/oleanderdeal/oleanderdeal/main.py
@@ -13,16 +13,16 @@
 _HELP_FLAGS = ("--help", "-h", "-help")
 _VERSION_FLAGS = ("--version", "-version")
 
-_Run = collections.abc.Callable[[settings.Settings], int]
-_OPERATOR_RUN = ("oleanderdeal.operator_commands", "run_operator_command")
-_RUNS: dict[setting_table.Command, tuple[str, str]] = {
+_CommandFunction = collections.abc.Callable[[settings.Settings], int]
+_OPERATOR_FUNCTION = ("oleanderdeal.operator_commands", "run_operator_command")
+_COMMAND_FUNCTIONS: dict[setting_table.Command, tuple[str, str]] = {
     setting_table.Command.ENTRY: ("oleanderdeal.entry", "run_entry"),
     setting_table.Command.SIDECAR: ("oleanderdeal.sidecar", "run_sidecar"),
-    setting_table.Command.PUBLISH: _OPERATOR_RUN,
-    setting_table.Command.CHECK: _OPERATOR_RUN,
-    setting_table.Command.SHOW: _OPERATOR_RUN,
-    setting_table.Command.AUDIT: _OPERATOR_RUN,
-    setting_table.Command.REPORT: _OPERATOR_RUN,
+    setting_table.Command.PUBLISH: _OPERATOR_FUNCTION,
+    setting_table.Command.CHECK: _OPERATOR_FUNCTION,
+    setting_table.Command.SHOW: _OPERATOR_FUNCTION,
+    setting_table.Command.AUDIT: _OPERATOR_FUNCTION,
+    setting_table.Command.REPORT: _OPERATOR_FUNCTION,
 }
 
 
@@ -45,7 +45,7 @@
     if command in _HELP_FLAGS:
         _print_out(help_texts.format_usage())
         return exit_codes.ExitCode.OK
-    if command in tuple(setting_table.Command) and _asks_help(arguments):
+    if command in tuple(setting_table.Command) and _is_help_requested(arguments):
         _print_out(help_texts.format_command_help(setting_table.Command(command)))
         return exit_codes.ExitCode.OK
     result = settings.read_settings(command, arguments[1:], environ)
@@ -53,14 +53,14 @@
         case expression.Result(tag="ok", ok=chosen):
             return _run_command(chosen)
         case expression.Result(error=found):
-            return _reject(found)
+            return _print_findings(found)
 
 
-def _asks_help(arguments: collections.abc.Sequence[str]) -> bool:
+def _is_help_requested(arguments: collections.abc.Sequence[str]) -> bool:
     return any(flag in arguments for flag in _HELP_FLAGS)
 
 
-def _reject(found: findings.Findings) -> int:
+def _print_findings(found: findings.Findings) -> int:
     for finding in found.items:
         _print_error(f"oleanderdeal: {finding}")
     _print_error("oleanderdeal: see oleanderdeal --help")
@@ -72,17 +72,17 @@
     log.configure_log(chosen.log_level.value.upper(), chosen.log_json, process)
     prefix = f"oleanderdeal.{chosen.command}.{process}"
     metrics.configure_metrics(chosen.statsd_host, chosen.statsd_port, prefix)
-    return _find_run(chosen.command)(chosen)
+    return _import_command(chosen.command)(chosen)
 
 
-def _find_run(command: setting_table.Command) -> _Run:
+def _import_command(command: setting_table.Command) -> _CommandFunction:
     """
     Import one command's code and no other's.
 
     A host has little memory, so a sidecar does not load what only an entry or an operator needs.
     """
-    module, function = _RUNS[command]
-    run: _Run = getattr(importlib.import_module(module), function)
+    module, function = _COMMAND_FUNCTIONS[command]
+    run: _CommandFunction = getattr(importlib.import_module(module), function)
     return run
 
 
--- a/programs/oleanderdeal/oleanderdeal/operator_commands.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_commands.py
@@ -14,8 +14,8 @@
 )
 from oleanderdeal.commands import audit, check, publish, report, show
 
-_Run = collections.abc.Callable[[operator_context.OperatorContext], int]
-_RUNS: dict[setting_table.Command, _Run] = {
+_CommandFunction = collections.abc.Callable[[operator_context.OperatorContext], int]
+_COMMAND_FUNCTIONS: dict[setting_table.Command, _CommandFunction] = {
     setting_table.Command.PUBLISH: publish.run_publish,
     setting_table.Command.CHECK: check.run_check,
     setting_table.Command.SHOW: show.run_show,
@@ -36,9 +36,9 @@
         output=printer(sys.stdout),
         pause=time.sleep,
     )
-    return run_with(context)
+    return run_command(context)
 
 
-def run_with(context: operator_context.OperatorContext) -> int:
+def run_command(context: operator_context.OperatorContext) -> int:
     """Run the command of a context."""
-    return _RUNS[context.settings.command](context)
+    return _COMMAND_FUNCTIONS[context.settings.command](context)
--- a/programs/oleanderdeal/oleanderdeal/output.py
+++ b/programs/oleanderdeal/oleanderdeal/output.py
@@ -9,7 +9,7 @@
 Row = collections.abc.Sequence[Cell]
 Columns = collections.abc.Sequence[str]
 
-_MOST_CELL_LETTERS = 120
+_MAX_CELL_CHARACTERS = 120
 
 
 class Output(abc.ABC):
@@ -39,7 +39,7 @@
         self, kind: str, columns: Columns, rows: collections.abc.Iterable[Row]
     ) -> None:
         """Print a heading and a line for each row; nothing where there are no rows."""
-        lines = [[_clean(cell) for cell in row] for row in rows]
+        lines = [[_sanitize(cell) for cell in row] for row in rows]
         if not lines:
             return
         widths = [
@@ -53,7 +53,7 @@
 
     def print_note(self, text: str) -> None:
         """Print a sentence."""
-        self._print_line(_clean(text, len(text)))
+        self._print_line(_sanitize(text, len(text)))
 
 
 class JsonOutput(Output):
@@ -72,7 +72,7 @@
         self._print_line(json.dumps({"kind": "note", "text": text}))
 
 
-def _clean(cell: Cell, most: int = _MOST_CELL_LETTERS) -> str:
+def _sanitize(cell: Cell, max_characters: int = _MAX_CELL_CHARACTERS) -> str:
     """
     Return a cell that can't move the cursor.
 
@@ -80,4 +80,4 @@
     what the terminal shows of the others.
     """
     text = str(cell).lower() if isinstance(cell, bool) else str(cell)
-    return "".join(letter if letter.isprintable() else "?" for letter in text[:most])
+    return "".join(letter if letter.isprintable() else "?" for letter in text[:max_characters])
--- a/programs/oleanderdeal/oleanderdeal/setting_values.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_values.py
@@ -12,7 +12,7 @@
 
 _TRUE_WORDS = ("true", "1")
 _FALSE_WORDS = ("false", "0")
-_SCHEME = "http"
+_URL_SCHEME = "http"
 _LIST_KINDS = (setting_table.Kind.URL_LIST, setting_table.Kind.TOKEN_LIST)
 
 
@@ -112,7 +112,7 @@
         port = parts.port
     except ValueError:
         return f"{shown} is no URL"
-    if parts.scheme != _SCHEME or not parts.hostname or port == 0:
+    if parts.scheme != _URL_SCHEME or not parts.hostname or port == 0:
         return f"{shown} is no URL of the form http://host:port"
     if parts.path.strip("/") or parts.query or parts.fragment or parts.username is not None:
         return f"{shown} has more than host and port"
--- a/programs/oleanderdeal/oleanderdeal/settings.py
+++ b/programs/oleanderdeal/oleanderdeal/settings.py
@@ -15,7 +15,7 @@
 from oleander_base import findings
 from oleanderdeal import command_line, setting_table, setting_values
 
-_NEAREST_CUTOFF = 0.6
+_MIN_SIMILARITY = 0.6
 _TABLE = setting_table.TABLE
 
 
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Given:
+class _SettingSource:
     """The text of a setting and where it stood."""
 
     source: str
@@ -96,53 +96,55 @@
 ) -> expression.Result[Settings, findings.Findings]:
     """Return the settings of a command; `argv` holds the flags after its name."""
     if command not in tuple(setting_table.Command):
-        fix = name_nearest(command, tuple(setting_table.Command))
+        fix = suggest_nearest(command, tuple(setting_table.Command))
         finding = findings.Finding(command or "command line", "is no command", fix)
         return expression.Error(findings.Findings((finding,)))
     found: list[findings.Finding] = []
     run = setting_table.Command(command)
-    given = _collect_given(run, argv, environ, found)
+    given = _collect_sources(run, argv, environ, found)
     values = {setting.name: _choose_value(setting, run, given, found) for setting in _TABLE}
     if not found:
-        _check_together(run, values, found)
+        _check_combinations(run, values, found)
     if found:
         return expression.Error(findings.Findings(tuple(found)))
     return expression.Ok(Settings(command=run, **values))
 
 
-def name_nearest(word: str, known: collections.abc.Iterable[str]) -> str:
+def suggest_nearest(word: str, known: collections.abc.Iterable[str]) -> str:
     """Return advice that names what a mistyped word was probably meant to be."""
-    nearest = difflib.get_close_matches(word, list(known), n=1, cutoff=_NEAREST_CUTOFF)
+    nearest = difflib.get_close_matches(word, list(known), n=1, cutoff=_MIN_SIMILARITY)
     return f"did you mean {nearest[0]}?" if nearest else ""
 
 
-def _collect_given(
+def _collect_sources(
     command: setting_table.Command,
     argv: collections.abc.Sequence[str],
     environ: collections.abc.Mapping[str, str],
     found: list[findings.Finding],
-) -> dict[str, _Given]:
+) -> dict[str, _SettingSource]:
     given = _read_variables(environ, found)
     known = setting_table.list_settings(command)
     line = command_line.parse_flags(known, argv)
     for name, text in line.texts.items():
-        given[name] = _Given(f"--{name}", text)
+        given[name] = _SettingSource(f"--{name}", text)
     found.extend(line.faults)
     for flag in line.unknown:
-        found.append(findings.Finding(flag, f"is no flag of {command}", _advise_flag(flag, known)))
+        found.append(
+            findings.Finding(flag, f"is no flag of {command}", _suggest_flag(flag, known))
+        )
     return given
 
 
-def _advise_flag(flag: str, known: collections.abc.Sequence[setting_table.Setting]) -> str:
+def _suggest_flag(flag: str, known: collections.abc.Sequence[setting_table.Setting]) -> str:
     for setting in _TABLE:
         if setting.flag == flag:
             return f"it belongs to {', '.join(setting.roles)}"
-    return name_nearest(flag, [setting.flag for setting in known])
+    return suggest_nearest(flag, [setting.flag for setting in known])
 
 
 def _read_variables(
     environ: collections.abc.Mapping[str, str], found: list[findings.Finding]
-) -> dict[str, _Given]:
+) -> dict[str, _SettingSource]:
     """
     Collect our variables; one of another command is known, and of no matter here.
 
@@ -154,9 +156,9 @@
         if not variable.startswith(setting_table.VARIABLE_PREFIX):
             continue
         if variable in by_variable:
-            given[by_variable[variable].name] = _Given(variable, text)
+            given[by_variable[variable].name] = _SettingSource(variable, text)
             continue
-        fix = name_nearest(variable, by_variable)
+        fix = suggest_nearest(variable, by_variable)
         found.append(findings.Finding(variable, "is no variable of ours", fix))
     return given
 
@@ -164,7 +166,7 @@
 def _choose_value(
     setting: setting_table.Setting,
     command: setting_table.Command,
-    given: dict[str, _Given],
+    given: dict[str, _SettingSource],
     found: list[findings.Finding],
 ) -> typing.Any:
     """Return a value of the setting's own type, also where a finding was added."""
@@ -194,7 +196,7 @@
     return setting.default
 
 
-def _check_together(
+def _check_combinations(
     command: setting_table.Command,
     values: dict[str, typing.Any],
     found: list[findings.Finding],
