--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,10 +1,10 @@
 Feature: Settings
-  What a process is told is checked as a whole before it starts, and every fault names its source.
+  All settings of a process are checked before it starts, and every fault names its flag or variable.
 
   Background:
     Given settings of a sidecar that are all sound
 
-  Scenario Outline: Each source of a setting, and which goes before which
+  Scenario Outline: A flag overrides the variable, and the variable overrides the default
     When the setting variable <variable> and the setting flag <flag> are given
     Then the value of setting <name> is <value>
 
@@ -32,7 +32,7 @@
       | OLEANDERDEAL_SLOTS=0       | --slots=1025               | --slots                    | 1025 is outside 1 to 1024 (in requests) |
       | none                       | --slots=1e3                | --slots                    | is no whole number: '1e3' (in requests) |
       | none                       | --slots=                   | --slots                    | is no whole number: '' (in requests) |
-      | OLEANDERDEAL_SLOTTS=4      | none                       | OLEANDERDEAL_SLOTTS        | is no variable of ours (did you mean OLEANDERDEAL_SLOTS?) |
+      | OLEANDERDEAL_SLOTTS=4      | none                       | OLEANDERDEAL_SLOTTS        | is not a known variable (did you mean OLEANDERDEAL_SLOTS?) |
       | none                       | --slotts=4                 | --slotts                   | is no flag of sidecar (did you mean --slots?) |
       | none                       | --peer_limit=4             | --peer_limit               | is no flag of sidecar (it belongs to entry) |
       | none                       | --flagfile=/dev/null       | --flagfile                 | is no flag of sidecar |
@@ -56,11 +56,11 @@
     When the setting variable OLEANDERDEAL_QUEUE_LENGTH=-1 and the setting flag --slots=x --naem=a are given
     Then the places of the setting findings are --naem, --slots, OLEANDERDEAL_QUEUE_LENGTH
 
-  Scenario: A process that is told nothing hears everything it needs
+  Scenario: Without any settings, every required one is reported
     When settings of entry are read from nothing
     Then the places of the setting findings are --name, --address, --failure_domain, --log_url, --hosts_url, --process_token
 
-  Scenario Outline: Customers' tokens
+  Scenario Outline: Customers' tokens are parsed, and a fault names its pair but not the token
     When settings of entry are read with the customer tokens <text>
     Then the customer tokens are <customers>
 
@@ -76,7 +76,7 @@
     When settings of entry are read with the customer tokens catania=hush
     Then the printed settings do not hold hush
 
-  Scenario Outline: A command that does not exist names the nearest
+  Scenario Outline: An unknown command is reported with the most similar one
     When settings of <command> are read from nothing
     Then the setting findings are <place>: <problem>
 
--- a/programs/oleanderdeal/oleanderdeal/access.py
+++ b/programs/oleanderdeal/oleanderdeal/access.py
@@ -1,4 +1,4 @@
-"""Who may do what: one token a customer, one for operators."""
+"""Access control by bearer token, for customers and operators."""
 
 import collections.abc
 import enum
@@ -11,7 +11,7 @@
 
 
 class Access(enum.Enum):
-    """What a request's token allows."""
+    """Result of checking a request's Authorization header."""
 
     ALLOWED = "allowed"
     NO_TOKEN = "no-token"
@@ -20,16 +20,17 @@
 
 class AccessTable:
     """
-    Compares tokens in constant time; who has none is not let in.
+    Tokens of all customers and operators; compares them in constant time.
 
-    A customer may have several, so that a new one is known before the old one goes.
+    A customer without a token is denied access. One customer may have several tokens, so that a
+    new token can be added before the old one is removed.
     """
 
     def __init__(self, tokens: collections.abc.Iterable[setting_values.CustomerToken]) -> None:
         self._tokens = tuple(tokens)
 
     def check(self, customer: str, authorization: str) -> Access:
-        """Return whether the header's token is this customer's or an operator's."""
+        """Check whether the header's token belongs to this customer or to an operator."""
         if not authorization.startswith(_BEARER_PREFIX):
             return Access.NO_TOKEN
         presented = authorization[len(_BEARER_PREFIX) :]
--- a/programs/oleanderdeal/oleanderdeal/command_line.py
+++ b/programs/oleanderdeal/oleanderdeal/command_line.py
@@ -1,4 +1,8 @@
-"""Flags by absl, kept as texts so that one place checks them together with the variables."""
+"""
+Parsing of command-line flags with absl.
+
+Values stay unparsed texts, so that `settings` checks them together with environment variables.
+"""
 
 import collections.abc
 import dataclasses
@@ -15,26 +19,26 @@
 
 @dataclasses.dataclass(slots=True)
 class CommandLine:
-    """What stood on the command line."""
+    """Result of parsing a command line."""
 
     texts: dict[str, str]
-    """The text of each flag given, by the setting's name."""
+    """Text of each flag that was given, by the setting's name."""
     unknown: list[str]
-    """Flags that the command does not have."""
+    """Flags that the command does not have, as `--name`."""
     faults: list[findings.Finding]
 
 
 class _UncheckedParser(flags.ArgumentParser[str]):
-    """Takes any text: absl would stop at the first bad value, and we report all of them."""
+    """Accepts any text, because absl stops at the first bad value but all must be reported."""
 
     syntactic_help = ""
 
     def parse(self, argument: str) -> str:
-        """Return the text as it is."""
+        """Return the text unchanged."""
         return argument
 
     def flag_type(self) -> str:
-        """Name the type for absl's own messages."""
+        """Return the type's name for absl's messages."""
         return "text"
 
 
@@ -42,7 +46,7 @@
     settings: collections.abc.Sequence[setting_table.Setting],
     argv: collections.abc.Sequence[str],
 ) -> CommandLine:
-    """Return what the flags say; the registry of flags lives as long as this call."""
+    """Parse a command's flags; absl's flag registry exists only during this call."""
     line = CommandLine({}, [], [])
     kept = _remove_absl_flags(argv, line)
     for argument in _parse(settings, kept, line):
@@ -67,7 +71,7 @@
 
 
 def _remove_absl_flags(argv: collections.abc.Sequence[str], line: CommandLine) -> list[str]:
-    """Take out absl's own flags: one reads files, the other hides what was mistyped."""
+    """Remove absl's `--flagfile`, which reads files, and `--undefok`, which hides typos."""
     kept = []
     for argument in argv:
         name = argument.lstrip("-").partition("=")[0]
@@ -81,7 +85,12 @@
 def _parse(
     settings: collections.abc.Sequence[setting_table.Setting], argv: list[str], line: CommandLine
 ) -> list[str]:
-    """Parse; an argument that absl stops at is reported, and the rest parsed without it."""
+    """
+    Parse the flags and return the arguments that remain.
+
+    absl stops at the first malformed argument, so it is reported and the others are parsed again
+    without it.
+    """
     while True:
         values = _define_flags(settings)
         try:
@@ -97,7 +106,7 @@
 
 
 def _find_rejected_argument(argv: list[str], message: str) -> int:
-    """Return which argument a message of absl is about: it quotes the argument as a whole."""
+    """Return the index of the argument that absl's message quotes, else that of the last one."""
     quoted = [place for place, text in enumerate(argv) if len(text) > 1 and text in message]
     return max(quoted, key=lambda place: len(argv[place]), default=len(argv) - 1)
 
--- a/programs/oleanderdeal/oleanderdeal/exit_codes.py
+++ b/programs/oleanderdeal/oleanderdeal/exit_codes.py
@@ -1,10 +1,10 @@
-"""What the program's exit status means."""
+"""Exit statuses of the program and their meanings in the help."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """How a run ended; scripts depend on these numbers."""
+    """Exit status of a run; operators' scripts depend on the numbers."""
 
     OK = 0
     FAILED = 1
--- a/programs/oleanderdeal/oleanderdeal/http_messages.py
+++ b/programs/oleanderdeal/oleanderdeal/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests and answers as the entry's handlers see them."""
+"""HTTP requests and answers, as `http_server` exchanges them with its handlers."""
 
 import collections.abc
 import dataclasses
@@ -15,26 +15,26 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """One request, its body already read whole."""
+    """A request whose body was read completely."""
 
     method: str
     target: str
-    """Path and query as they were received."""
+    """Undecoded path and query string."""
     path: tuple[str, ...]
     headers: dict[str, str]
-    """Names in lower case."""
+    """Values by header name; the names are in lower case."""
     body: bytes
     is_gone: collections.abc.Callable[[], bool]
-    """Tells whether the client has closed the connection."""
+    """Returns whether the client has closed the connection."""
 
     def find_header(self, name: str) -> str:
-        """Return a header, or an empty text."""
+        """Return the value of a header, or '' if the request does not have it."""
         return self.headers.get(name.lower(), "")
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class HttpAnswer:
-    """One answer; the parts are sent as they come."""
+    """An answer whose body parts are sent as soon as `parts` yields them."""
 
     status: int
     content_type: str
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Problem:
-    """An answer that is no success (RFC 9457)."""
+    """Content of a problem document (RFC 9457), for an answer that is not a success."""
 
     status: int
     title: str
@@ -60,7 +60,11 @@
 
 
 def answer_problem(problem: Problem) -> HttpAnswer:
-    """Return the problem document, with Retry-After where trying again can help."""
+    """
+    Return an answer with the problem document.
+
+    It has a Retry-After header, rounded up to seconds, if `retry_after_ms` is above 0.
+    """
     content = {
         "type": f"urn:oleanderdeal:{problem.reason}",
         "title": problem.title,
@@ -81,7 +85,7 @@
 
 
 def answer_findings(found: findings.Findings) -> HttpAnswer:
-    """Return all faults of an input in one answer; nothing was changed."""
+    """Return a 400 that lists all faults of an input; such a request has had no effect."""
     return answer_problem(
         Problem(400, "The request has faults.", "not-run", "bad-input", 0, found.items)
     )
--- a/programs/oleanderdeal/oleanderdeal/http_server.py
+++ b/programs/oleanderdeal/oleanderdeal/http_server.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP server: waitress in front of one handler."""
+"""HTTP server of an entry, based on waitress."""
 
 import abc
 import collections.abc
@@ -24,7 +24,7 @@
 
 
 class Handler(abc.ABC):
-    """Answers HTTP requests."""
+    """Answers the requests that an `HttpServer` receives."""
 
     @abc.abstractmethod
     def handle(self, request: http_messages.HttpRequest) -> http_messages.HttpAnswer:
@@ -33,13 +33,14 @@
 
 class _ClosingTask(waitress.task.WSGITask):  # type: ignore[misc]
     """
-    Answers a request and closes its connection where the server is about to stop.
+    Answers a request, and closes its connection if the server is leaving.
 
-    A client that keeps its connection would send the next request to a process that has ended.
+    Otherwise a client with a keep-alive connection would send its next request to a process that
+    has ended.
     """
 
     def build_response_header(self) -> bytes:
-        """Return the head of the answer."""
+        """Return the status line and headers, with `Connection: close` if leaving."""
         if self.channel.server.is_leaving():
             self.set_close_on_finish()
         return bytes(super().build_response_header())
@@ -55,10 +56,10 @@
 
 class HttpServer:
     """
-    Serves a handler on a bounded pool of threads and counts what is in progress.
+    Calls a handler on a bounded pool of threads and counts the requests in progress.
 
-    Requests beyond the pool wait in waitress's queue; connections beyond the bound wait in the
-    kernel's.
+    Requests beyond the number of threads wait in waitress's queue; connections beyond
+    `_MAX_CONNECTIONS` wait in the kernel's accept queue.
     """
 
     def __init__(
@@ -69,7 +70,11 @@
         threads: int,
         is_leaving: collections.abc.Callable[[], bool] = _is_never_leaving,
     ) -> None:
-        """Listen; answers close their connections from when the process is leaving."""
+        """
+        Bind the socket.
+
+        Once `is_leaving` returns true, each answer closes its connection.
+        """
         self._handler = handler
         self._lock = threading.Lock()
         self._in_progress = 0
@@ -96,35 +101,36 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The bound port; differs from the one asked for if that was 0."""
         return int(self._server.effective_port)
 
     @property
     def in_progress(self) -> int:
-        """How many requests are being answered."""
+        """Number of requests that are being answered."""
         return self._in_progress
 
     def serve(self) -> None:
-        """Serve until stopped."""
+        """Run the server loop until `stop` is called and all connections are closed."""
         self._server.run()
 
     def set_limits(self, body_bytes: int, idle_seconds: float) -> None:
-        """Change what a client may send and how long its connection may be idle."""
+        """Set the maximum size of request bodies and the idle timeout of connections."""
         self._server.adj.max_request_body_size = body_bytes
         self._server.adj.channel_timeout = idle_seconds
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._server.active_channels)
 
     def close_idle(self) -> None:
         """
-        Take no new connections, and close those on which nothing was received or is to be sent.
+        Stop listening, and close connections without a received request or unsent bytes.
 
-        Clients go on using connections that they keep until they are closed. A process that ended
-        between two looks at what is in progress would cut a request that it had just read; here
-        the thread that reads decides, and what it has read keeps its connection open.
+        Clients keep using keep-alive connections until they are closed. Checking from another
+        thread whether a request is in progress would race with the thread that reads requests,
+        and the process could end with a request that was just read. So the reading thread closes
+        the connections itself, and one on which it has read anything stays open.
         """
         self._server.trigger.pull_trigger(self._close_idle_channels)
 
@@ -136,7 +142,7 @@
                 channel.handle_close()
 
     def await_idle(self, deadline: clock.Deadline) -> bool:
-        """Wait until no request is in progress; return whether that was reached."""
+        """Wait until no request is in progress; return False if the deadline passes first."""
         pause = threading.Event()
         while self._in_progress and not deadline.is_past:
             pause.wait(_POLL_INTERVAL_SECONDS)
@@ -144,9 +150,10 @@
 
     def stop(self) -> None:
         """
-        Stop listening and end the threads; the serving one once no connection is open.
+        Stop listening and end the worker threads.
 
-        The serving thread closes the socket itself: it may be about to wait for it.
+        The serving thread ends once no connection is open. It closes the listening socket itself,
+        because it fails if the socket is closed just before it waits on it.
         """
         self._server.trigger.pull_trigger(self._end_loop)
         self._server.task_dispatcher.shutdown()
@@ -157,7 +164,11 @@
             waitress.wasyncore.dispatcher.close(self._server)
 
     def _end_loop(self) -> None:
-        """Let the loop end; the trigger stays open for answers that still end on other threads."""
+        """
+        Remove the trigger from the loop, which ends once its last connection is closed.
+
+        The trigger's pipe stays open, because worker threads that finish an answer still use it.
+        """
         self._stop_listening()
         self._server.trigger.del_channel()
 
@@ -183,7 +194,7 @@
             return self._handler.handle(_read_request(environ))
         except Exception:
             log.logger.bind(event="request-failed", path=environ.get("PATH_INFO", "")).exception(
-                "a handler failed"
+                "the handler raised an exception; answered with status 500"
             )
             return http_messages.answer_problem(
                 http_messages.Problem(500, "Internal error.", "unknown", "internal-error")
@@ -195,7 +206,11 @@
 
 
 class _TrackedParts:
-    """Parts of an answer; waitress calls close when all are sent or the client is gone."""
+    """
+    Body of an answer that reports when it is finished.
+
+    Waitress calls `close` once all parts are sent or the client has disconnected.
+    """
 
     def __init__(
         self, parts: collections.abc.Iterable[bytes], end: collections.abc.Callable[[], None]
@@ -207,7 +222,7 @@
         return iter(self._parts)
 
     def close(self) -> None:
-        """Note that the request has ended."""
+        """Close the parts and report that the request has ended."""
         close = getattr(self._parts, "close", None)
         if close is not None:
             close()
--- a/programs/oleanderdeal/oleanderdeal/main.py
+++ b/programs/oleanderdeal/oleanderdeal/main.py
@@ -1,4 +1,4 @@
-"""The program's start: parse, configure logs and metrics, run the command."""
+"""Main function: parses the command line, configures logs and metrics, runs the command."""
 
 import collections.abc
 import importlib
@@ -27,14 +27,14 @@
 
 
 def main() -> None:
-    """Run the command that the command line names."""
+    """Run the program with this process's arguments and environment, and exit."""
     sys.exit(run_program(sys.argv[1:], os.environ))
 
 
 def run_program(
     arguments: collections.abc.Sequence[str], environ: collections.abc.Mapping[str, str]
 ) -> int:
-    """Run one command and return the exit status."""
+    """Run the command that the first argument names, and return the exit status."""
     if not arguments:
         _print_error(help_texts.format_usage())
         return exit_codes.ExitCode.USAGE
@@ -77,9 +77,10 @@
 
 def _import_command(command: setting_table.Command) -> _CommandFunction:
     """
-    Import one command's code and no other's.
+    Import the module of one command and return its function.
 
-    A host has little memory, so a sidecar does not load what only an entry or an operator needs.
+    Hosts have little memory, so a sidecar must not load modules that only an entry or an
+    operator's command uses.
     """
     module, function = _COMMAND_FUNCTIONS[command]
     run: _CommandFunction = getattr(importlib.import_module(module), function)
--- a/programs/oleanderdeal/oleanderdeal/metrics_page.py
+++ b/programs/oleanderdeal/oleanderdeal/metrics_page.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a process as text."""
+"""HTTP handler that serves the metrics of a process in the text format of Prometheus."""
 
 from oleander_base import exposition
 from oleanderdeal import http_messages, http_server
@@ -7,10 +7,10 @@
 
 
 class MetricsHandler(http_server.Handler):
-    """Answers the one path with all figures."""
+    """Serves all metrics at `PATH`; any other path is answered 404."""
 
     def handle(self, request: http_messages.HttpRequest) -> http_messages.HttpAnswer:
-        """Return the figures as they are now."""
+        """Return the current values of all metrics."""
         if request.target.partition("?")[0] != PATH:
             return http_messages.HttpAnswer(404, "text/plain", [b"metrics are at /metrics\n"])
         return http_messages.HttpAnswer(
--- a/programs/oleanderdeal/oleanderdeal/operator_commands.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: each reads and prints, and only `publish` writes."""
+"""Dispatch of the operators' commands, of which only `publish` writes to the log."""
 
 import collections.abc
 import sys
@@ -25,7 +25,7 @@
 
 
 def run_operator_command(chosen: settings.Settings) -> int:
-    """Run the command on standard input and output, and return the exit status."""
+    """Run a command with standard input and output, and return its exit status."""
     printer = output.JsonOutput if chosen.json else output.TableOutput
     needs_log = chosen.command is not setting_table.Command.CHECK
     context = operator_context.OperatorContext(
@@ -40,5 +40,5 @@
 
 
 def run_command(context: operator_context.OperatorContext) -> int:
-    """Run the command of a context."""
+    """Run the command that the context's settings name, and return its exit status."""
     return _COMMAND_FUNCTIONS[context.settings.command](context)
--- a/programs/oleanderdeal/oleanderdeal/operator_context.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_context.py
@@ -1,4 +1,4 @@
-"""What an operator's command works with."""
+"""Dependencies of the operators' commands, which tests replace by fakes."""
 
 import collections.abc
 import dataclasses
@@ -13,25 +13,25 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OperatorContext:
-    """The services, the input and the output of one command."""
+    """Settings, services, input and output of one command."""
 
     settings: settings.Settings
     log: logservice.LogService | None
-    """Nothing for a command that needs no log."""
+    """None for a command that does not use the log."""
     entries: entry_clients.EntryClient
     source: typing.TextIO
     output: output.Output
     pause: Pause
-    """Waits so many seconds."""
+    """Sleeps for a number of seconds."""
 
     def start_deadline(self) -> clock.Deadline:
-        """Return the end of the whole command."""
+        """Return the deadline of the whole command, `wait_ms` from now."""
         return clock.start_deadline_ms(self.settings.wait_ms)
 
     def open_log(self, deadline: clock.Deadline) -> retrying_log.RetryingLog:
-        """Return the log, asked again and again until the deadline."""
+        """Return the log, whose failed calls are retried until the deadline."""
         if self.log is None:
-            raise ValueError("this command was built without a log")
+            raise ValueError("this command has no log: its context was created with log=None")
         return retrying_log.RetryingLog(
             self.log, self.settings.log_timeout_ms, deadline, self.pause
         )
--- a/programs/oleanderdeal/oleanderdeal/setting_table.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_table.py
@@ -1,4 +1,4 @@
-"""The table of settings: every flag and environment variable that the program knows."""
+"""Table of all settings, each of which is a flag and an environment variable."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Command(enum.StrEnum):
-    """What one run of the program does."""
+    """Commands of the program: long-running processes and operators' commands."""
 
     ENTRY = "entry"
     SIDECAR = "sidecar"
@@ -19,7 +19,7 @@
 
 
 class Kind(enum.StrEnum):
-    """How the text of a setting is read."""
+    """Format of a setting's text; the value describes it in help texts."""
 
     INTEGER = "whole number"
     TEXT = "text"
@@ -34,14 +34,14 @@
 
 
 class BackendKind(enum.StrEnum):
-    """What stands beside a sidecar."""
+    """Kind of backend server that a sidecar serves."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class LogLevel(enum.StrEnum):
-    """The least severe line that is logged."""
+    """Lowest severity that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -54,28 +54,28 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Setting:
-    """One setting: its flag is `--name`, its variable `OLEANDERDEAL_NAME`."""
+    """A setting, given as the flag `--name` or the variable `OLEANDERDEAL_NAME`."""
 
     name: str
     kind: Kind
     unit: str
     default: Default
-    """Nothing means that the setting must be given."""
+    """None if the setting is required."""
     low: int
     high: int
-    """Bounds of a number; of a text, the bounds of its length."""
+    """With `low`, the inclusive bounds of a number or of a text's length in characters."""
     roles: tuple[Command, ...]
     help: str
     choices: tuple[enum.StrEnum, ...] = ()
 
     @property
     def flag(self) -> str:
-        """The flag as it is written on the command line."""
+        """The flag, as `--name`."""
         return f"--{self.name}"
 
     @property
     def variable(self) -> str:
-        """The environment variable."""
+        """The name of the environment variable."""
         return VARIABLE_PREFIX + self.name.upper()
 
 
@@ -99,23 +99,23 @@
 _BOOLEAN_BOUNDS = (0, 1)
 
 TABLE: tuple[Setting, ...] = (
-    # Who this process is and where it listens.
+    # Name and address of the process.
     Setting(
         "name", Kind.NAME, "", None, 1, 64, _LONG_RUNNING,
-        "Name of this process, in logs and between processes.",
+        "Name of this process, in log lines and towards other processes.",
     ),
     Setting(
         "address", Kind.ADDRESS, "IP:port", None, 0, _MAX_PORT, _LONG_RUNNING,
-        "Where to listen; port 0 takes a free one.",
+        "Address to listen on; port 0 takes a free port.",
     ),
     Setting(
         "failure_domain", Kind.NAME, "", None, 1, 64, _LONG_RUNNING,
-        "The part of the deployment that fails together with this host.",
+        "Failure domain of this host: the hosts that fail together with it.",
     ),
-    # The platform.
+    # Services of the platform.
     Setting(
         "log_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _LOG_READERS,
-        "The platform's log service.",
+        "URL of the platform's log service.",
     ),
     Setting(
         "log_timeout_ms", Kind.INTEGER, "ms", 2000, 10, _MINUTE_MS, _LOG_READERS,
@@ -123,67 +123,67 @@
     ),
     Setting(
         "hosts_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _ENTRY_ONLY,
-        "The platform's list of hosts.",
+        "URL of the platform's list of hosts.",
     ),
     Setting(
         "configuration_poll_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _LONG_RUNNING,
-        "How long one read of the configuration stream waits for a new record.",
+        "Time that one read of the configuration stream waits for a new record.",
     ),
     # Logs and metrics.
     Setting(
         "log_level", Kind.CHOICE, "", LogLevel.INFO.value, 0, 0, _ALL_COMMANDS,
-        "The least severe line that is logged, on standard error.", tuple(LogLevel),
+        "Lowest severity of the log lines that are written to standard error.", tuple(LogLevel),
     ),
     Setting(
         "log_json", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _ALL_COMMANDS,
-        "Log lines as JSON.",
+        "Write log lines as JSON.",
     ),
     Setting(
         "statsd_host", Kind.IP, "", "", 0, 64, _LONG_RUNNING,
-        "IP number of the statsd server; empty keeps metrics in memory only.",
+        "IP address of the statsd server; if empty, metrics are kept in memory only.",
     ),
     Setting(
         "statsd_port", Kind.INTEGER, "port", 8125, 1, _MAX_PORT, _LONG_RUNNING,
         "UDP port of the statsd server.",
     ),
-    # Access.
+    # Access tokens.
     Setting(
         "process_token", Kind.TEXT, "secret", None, 1, _MAX_TEXT_LENGTH, _LONG_RUNNING,
-        "Shared by the system's own processes; better set by variable than by flag.",
+        "Secret shared by entries and sidecars; better set by variable than by flag.",
     ),
     Setting(
         "customer_tokens", Kind.TOKEN_LIST, "secret", "", 0, _MAX_LIST_LENGTH, _ENTRY_ONLY,
-        "Tokens as customer=token,...; the name operator stands for the operators."
-        " Who is not listed is not let in.",
+        "Access tokens as customer=token,...; the name operator stands for the operators."
+        " A customer that is not listed is denied access.",
     ),
     # A sidecar and its backend server.
     Setting(
         "backend", Kind.NAME, "", None, 1, 64, _SIDECAR_ONLY,
-        "The group of backend servers that this one belongs to, as contracts name it.",
+        "Group of backend servers that this one belongs to, as contracts name it.",
     ),
     Setting(
         "backend_kind", Kind.CHOICE, "", None, 0, 0, _SIDECAR_ONLY,
-        "What the backend server is.", tuple(BackendKind),
+        "Kind of the backend server.", tuple(BackendKind),
     ),
     Setting(
         "backend_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _SIDECAR_ONLY,
-        "Where the backend server answers.",
+        "URL of the backend server.",
     ),
     Setting(
         "slots", Kind.INTEGER, "requests", 4, 1, 1024, _SIDECAR_ONLY,
-        "Requests that run at the backend server at a time.",
+        "Maximum number of requests that run on the backend server at a time.",
     ),
     Setting(
         "queue_length", Kind.INTEGER, "requests", 256, 1, 100_000, _SIDECAR_ONLY,
-        "Requests that wait at most; one more is refused as not run.",
+        "Maximum number of waiting requests; further ones are refused as not run.",
     ),
     Setting(
         "model", Kind.NAME, "", "", 0, 64, _SIDECAR_ONLY,
-        "The model that the engine runs; an engine needs it.",
+        "Model that the engine runs; required for an engine.",
     ),
     Setting(
         "checks_fencing", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _SIDECAR_ONLY,
-        "Whether the engine refuses an order with an old fencing number.",
+        "Whether the engine refuses an order with an outdated fencing number.",
     ),
     Setting(
         "load_timeout_ms", Kind.INTEGER, "ms", 10_000, 10, _HOUR_MS, _SIDECAR_ONLY,
@@ -191,76 +191,76 @@
     ),
     Setting(
         "load_spread_ms", Kind.INTEGER, "ms", 0, 0, _HOUR_MS, _SIDECAR_ONLY,
-        "Loads of a new version are spread over so long across the sidecars.",
+        "Time over which the sidecars' loads of a new version are spread.",
     ),
     Setting(
         "kept_answers", Kind.INTEGER, "answers", 10_000, 1, 1_000_000, _SIDECAR_ONLY,
-        "Answers kept for a request that is sent again; the oldest make room.",
+        "Maximum number of answers kept for repeated requests; the oldest are evicted first.",
     ),
     Setting(
         "kept_answer_bytes", Kind.INTEGER, "bytes", 64 * _MEBIBYTE, _MEBIBYTE, 1024 * _MEBIBYTE,
         _SIDECAR_ONLY,
-        "Bytes of the answers kept; the oldest make room.",
+        "Maximum total size of the kept answers; the oldest are evicted first.",
     ),
-    # Between processes.
+    # Connections between processes.
     Setting(
         "heartbeat_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _LONG_RUNNING,
-        "How often an idle connection between processes carries a heartbeat.",
+        "Interval of heartbeats on an idle connection between processes.",
     ),
     Setting(
         "peer_limit", Kind.INTEGER, "sidecars", 20, 1, 1000, _ENTRY_ONLY,
-        "Sidecars that one entry connects to at most.",
+        "Maximum number of sidecars that one entry connects to.",
     ),
     # An entry.
     Setting(
         "http_threads", Kind.INTEGER, "threads", 64, 1, 1024, _ENTRY_ONLY,
-        "Requests that an entry answers at a time; further ones wait in line.",
+        "Maximum number of requests that an entry answers at a time; further ones are queued.",
     ),
     Setting(
         "sample_tasks", Kind.INTEGER, "samples", 64, 1, 4096, _ENTRY_ONLY,
-        "Samples of training steps that an entry has in the making at a time.",
+        "Maximum number of samples of training steps that an entry generates at a time.",
     ),
     Setting(
         "claim_shards", Kind.INTEGER, "streams", 4, 1, 64, _ENTRY_ONLY,
-        "Streams that claims are spread over; must be the same at every entry.",
+        "Number of streams that claims are spread over; must be the same at every entry.",
     ),
     Setting(
         "claim_window", Kind.INTEGER, "claims", 100_000, 100, 10_000_000, _ENTRY_ONLY,
-        "Claims of one stream kept in memory; a key older than these is refused.",
+        "Number of claims of one stream kept in memory; a key older than these is refused.",
     ),
     Setting(
         "snapshot_interval_ms", Kind.INTEGER, "ms", 600_000, 100, _HOUR_MS, _ENTRY_ONLY,
-        "A snapshot of what is in force is written to the log this often; well below the time"
+        "Interval of snapshots of the configuration in the log; must be well below the time"
         " that the log keeps records.",
     ),
     Setting(
         "drain_ms", Kind.INTEGER, "ms", 600_000, 0, _HOUR_MS, _LONG_RUNNING,
-        "How long a stopping process may take to finish what runs.",
+        "Time that a stopping process has to finish the requests in progress.",
     ),
     # Operators' commands.
     Setting(
         "file", Kind.TEXT, "path", "-", 1, _MAX_TEXT_LENGTH, _FILE_READERS,
-        "The contract to read, in YAML or JSON; - is standard input.",
+        "File of the contract, in YAML or JSON; - is standard input.",
     ),
     Setting(
         "by", Kind.TEXT, "", None, 1, 200, (Command.PUBLISH,),
-        "Who publishes, for the audit trail.",
+        "Name of the publisher, for the audit trail.",
     ),
     Setting(
         "customer", Kind.NAME, "", "", 0, 64, (Command.SHOW, Command.AUDIT, Command.REPORT),
-        "Show this customer only.",
+        "Limit the output to this customer.",
     ),
     Setting(
         "entries", Kind.URL_LIST, "", "", 0, _MAX_LIST_LENGTH, _ENTRY_CLIENTS,
-        "The entries to ask, each one itself rather than the balancer.",
+        "URLs of the entries to ask: of each entry itself, not of a load balancer.",
     ),
     Setting(
         "operator_token", Kind.TEXT, "secret", "", 0, _MAX_TEXT_LENGTH, _ENTRY_CLIENTS,
-        "The operators' token, sent to the entries.",
+        "Access token of the operators, sent to the entries.",
     ),
     Setting(
         "wait_ms", Kind.INTEGER, "ms", 8000, 1, _HOUR_MS, _OPERATOR_COMMANDS,
-        "How long the whole command may take.",
+        "Time limit of the whole command.",
     ),
     Setting(
         "json", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _OPERATOR_COMMANDS,
--- a/programs/oleanderdeal/oleanderdeal/setting_values.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_values.py
@@ -1,4 +1,4 @@
-"""The text of a setting to its value; what can't be read is told in words."""
+"""Parsers that turn the text of a setting into its value, or into an error message."""
 
 import collections.abc
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CustomerToken:
-    """Who is let in by which token."""
+    """Access token of one customer, or of operators under the name `operator`."""
 
     customer: str
     token: str = dataclasses.field(repr=False)
@@ -29,7 +29,7 @@
 
 
 def read_value(setting: setting_table.Setting, text: str) -> ValueResult:
-    """Return the value that a text stands for, or what is wrong with it."""
+    """Return the value of a text, or an error message that continues the setting's name."""
     if text or setting.default != "" or setting.kind in _LIST_KINDS:
         return _READERS[setting.kind](setting, text)
     return expression.Ok("")
@@ -46,9 +46,9 @@
 
 def _read_text(setting: setting_table.Setting, text: str) -> ValueResult:
     if not setting.low <= len(text) <= setting.high:
-        return expression.Error(f"has {len(text)} letters, not {setting.low} to {setting.high}")
+        return expression.Error(f"has {len(text)} characters, not {setting.low} to {setting.high}")
     if not text.isprintable():
-        return expression.Error("has letters that can't be printed")
+        return expression.Error("contains unprintable characters")
     return expression.Ok(text)
 
 
@@ -133,7 +133,7 @@
     tokens: list[CustomerToken] = []
     for number, part in enumerate(_split_list(text), start=1):
         customer, _, token = part.partition("=")
-        # A token is never shown: a finding ends up in logs.
+        # Messages name a pair by its number, never by its token: they end up in logs.
         if not names.is_name(customer):
             return expression.Error(f"pair {number} has no name before =")
         if not token or " " in token or not token.isascii() or not token.isprintable():
--- a/programs/oleanderdeal/oleanderdeal/settings.py
+++ b/programs/oleanderdeal/oleanderdeal/settings.py
@@ -1,8 +1,8 @@
 """
-The settings of one run, read from flags and environment variables.
+Settings of one run, read from flags and environment variables.
 
-A flag goes before its variable, and a variable before the default. Everything is checked as a
-whole before anything starts: every fault is reported, each with the flag or variable that has it.
+A flag overrides its variable, and a variable overrides the default. All settings are checked
+before anything starts, and every fault is reported with the flag or variable that it is in.
 """
 
 import collections.abc
@@ -22,10 +22,10 @@
 @dataclasses.dataclass(slots=True, frozen=True)
 class Settings:
     """
-    What one run was told; passed down to whoever needs it, never looked up.
+    Checked settings of one run, passed as an argument and never read from a global.
 
-    The table of settings tells unit, bounds and default of each. A setting that the command does
-    not have holds its default, or an empty text where it has none.
+    `setting_table.TABLE` states the unit, bounds and default of each. A setting that the command
+    does not have holds its default, or an empty text if it has none.
     """
 
     command: setting_table.Command
@@ -44,7 +44,7 @@
     customer_tokens: tuple[setting_values.CustomerToken, ...]
     backend: str
     backend_kind: setting_table.BackendKind | None
-    """Nothing for a command that is no sidecar."""
+    """None for every command but `sidecar`."""
     backend_url: str
     slots: int
     queue_length: int
@@ -72,18 +72,18 @@
 
     @property
     def listen_host(self) -> str:
-        """The IP number of `address`."""
+        """The IP address in `address`, without the brackets of IPv6."""
         return self.address.rpartition(":")[0].removeprefix("[").removesuffix("]")
 
     @property
     def listen_port(self) -> int:
-        """The port of `address`; 0 takes a free one."""
+        """The port in `address`; 0 lets the system choose a free one."""
         return int(self.address.rpartition(":")[2])
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _SettingSource:
-    """The text of a setting and where it stood."""
+    """Text of a setting, and the flag or variable that gave it."""
 
     source: str
     text: str
@@ -94,7 +94,7 @@
     argv: collections.abc.Sequence[str],
     environ: collections.abc.Mapping[str, str],
 ) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings of a command; `argv` holds the flags after its name."""
+    """Return a command's settings, or all faults; `argv` holds the flags after its name."""
     if command not in tuple(setting_table.Command):
         fix = suggest_nearest(command, tuple(setting_table.Command))
         finding = findings.Finding(command or "command line", "is no command", fix)
@@ -111,7 +111,7 @@
 
 
 def suggest_nearest(word: str, known: collections.abc.Iterable[str]) -> str:
-    """Return advice that names what a mistyped word was probably meant to be."""
+    """Return the hint `did you mean NAME?` for a mistyped word, or '' if none is similar."""
     nearest = difflib.get_close_matches(word, list(known), n=1, cutoff=_MIN_SIMILARITY)
     return f"did you mean {nearest[0]}?" if nearest else ""
 
@@ -146,9 +146,10 @@
     environ: collections.abc.Mapping[str, str], found: list[findings.Finding]
 ) -> dict[str, _SettingSource]:
     """
-    Collect our variables; one of another command is known, and of no matter here.
+    Collect the environment variables with the program's prefix, and report unknown ones.
 
-    A host sets the same variables for every command that runs on it.
+    A variable for another command is not a fault, because a host sets the same variables for
+    every command that runs on it.
     """
     by_variable = {setting.variable: setting for setting in _TABLE}
     given = {}
@@ -159,7 +160,7 @@
             given[by_variable[variable].name] = _SettingSource(variable, text)
             continue
         fix = suggest_nearest(variable, by_variable)
-        found.append(findings.Finding(variable, "is no variable of ours", fix))
+        found.append(findings.Finding(variable, "is not a known variable", fix))
     return given
 
 
@@ -169,7 +170,7 @@
     given: dict[str, _SettingSource],
     found: list[findings.Finding],
 ) -> typing.Any:
-    """Return a value of the setting's own type, also where a finding was added."""
+    """Return the parsed value or the default; add a finding and return None if it is faulty."""
     source = given.get(setting.name) if command in setting.roles else None
     if source is None:
         return _choose_default(setting, command, found)
@@ -201,9 +202,13 @@
     values: dict[str, typing.Any],
     found: list[findings.Finding],
 ) -> None:
-    """Check what needs more than one setting; runs once each of them is sound."""
+    """Check rules that involve several settings, once each setting is valid by itself."""
     is_engine = values["backend_kind"] == setting_table.BackendKind.ENGINE
     if is_engine and not values["model"]:
         found.append(findings.Finding("--model", "must be given", "an engine runs one model"))
     if command == setting_table.Command.REPORT and not values["entries"]:
-        found.append(findings.Finding("--entries", "must be given", "whom to ask for counts"))
+        found.append(
+            findings.Finding(
+                "--entries", "must be given", "the URLs of the entries whose counts are reported"
+            )
+        )
