--- a/features/platform_standin.py
+++ b/features/platform_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' platform over HTTP: its store, one engine and one service."""
+"""HTTP stand-ins of the platform: its store, backend servers and the receiver of usage reports."""
 
 import base64
 import collections
@@ -11,18 +11,18 @@
 import time
 import urllib.parse
 
-_LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">QQ")
+_LENGTH_PREFIX = struct.Struct(">I")
+_PAGE_HEADER = struct.Struct(">QQ")
 _HOST = "127.0.0.1"
 EVENTS = 5
 FATAL_BODY = b"fatal"
-"""A request with this body ends each server that runs it."""
+"""A request with this body crashes each server that runs it."""
 _SILENT_SECONDS = 3.0
-"""Longer than the program waits for any answer of the store."""
+"""Delay of a silent store's answers, longer than the program's timeout for any store call."""
 
 
-def frame_keyed(key, value):
-    """Return a record of a keyed topic."""
+def encode_keyed_record(key, value):
+    """Encode a record of a keyed topic: a byte with the key's length, the key, the value."""
     return bytes([len(key)]) + key.encode() + value
 
 
@@ -72,17 +72,17 @@
         super().shutdown_request(request)
 
     def handle_error(self, request, client_address):
-        """Say nothing: clients that are killed leave in the middle of answers."""
+        """Print no traceback: killed clients disconnect in the middle of answers."""
 
-    def cut_all(self):
-        """Close every connection, whatever is in progress on it."""
+    def close_connections(self):
+        """Close every connection, also those with a request in progress."""
         for request in list(self._open):
             with contextlib.suppress(OSError):
                 request.shutdown(socket.SHUT_RDWR)
 
 
-class Stand:
-    """One HTTP server of the stand-in."""
+class HttpStandin:
+    """HTTP server that can be killed and restarted at the same address."""
 
     def __init__(self):
         self._serve(0)
@@ -96,14 +96,14 @@
         self._server.server_close()
 
     def end(self):
-        """End like a process that is killed: nothing listens, all connections are closed."""
+        """Simulate a killed process: stop listening and close all connections."""
         self._server.socket.shutdown(socket.SHUT_RDWR)
         self._server.server_close()
-        self._server.cut_all()
+        self._server.close_connections()
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
     def start_again(self):
-        """Listen at the address that it had."""
+        """Listen again at the previous address."""
         self._serve(self._server.server_address[1])
 
     def _serve(self, port):
@@ -112,8 +112,8 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
 
-class Store(Stand):
-    """The platform's store: partitions of records, newest of keys, one member that gets all."""
+class Store(HttpStandin):
+    """Platform store: partitioned topics, keyed topics and consumer groups."""
 
     def __init__(self, partitions=4):
         super().__init__()
@@ -122,14 +122,14 @@
         self.slow_seconds = 0.0
         self._members = {}
         self._generation = 0
-        self._dealt = {}
+        self._assigned = {}
         self._partitions = partitions
         self._changed = threading.Condition()
         self._records = collections.defaultdict(list)
 
     def put(self, topic, key, content):
         with self._changed:
-            self._records[topic, 0].append(frame_keyed(key, json.dumps(content).encode()))
+            self._records[topic, 0].append(encode_keyed_record(key, json.dumps(content).encode()))
             self._changed.notify_all()
 
     def answer(self, handler, path, query, body):
@@ -145,7 +145,7 @@
     def _answer_append(self, handler, query, body):
         records = []
         while body:
-            (length,) = _LENGTH.unpack_from(body)
+            (length,) = _LENGTH_PREFIX.unpack_from(body)
             records.append(body[4 : 4 + length])
             body = body[4 + length :]
         with self._changed:
@@ -166,8 +166,8 @@
             while len(held) <= offset and time.monotonic() < until:
                 self._changed.wait(until - time.monotonic())
             records = held[offset:]
-            head = _HEAD.pack(len(held), 0)
-        handler.send(200, head + b"".join(_LENGTH.pack(len(r)) + r for r in records))
+            head = _PAGE_HEADER.pack(len(held), 0)
+        handler.send(200, head + b"".join(_LENGTH_PREFIX.pack(len(r)) + r for r in records))
 
     def _answer_newest(self, handler, query, body):
         with self._changed:
@@ -184,21 +184,21 @@
         topic, ttl_ms = asked["topics"][0], asked["ttl_ms"]
         with self._changed:
             self._members[asked["group"], asked["member"]] = time.monotonic() + ttl_ms / 1000
-            dealt = self._deal(asked["group"])
+            dealt = self._assign_partitions(asked["group"])
             mine = [part for part, member in dealt.items() if member == asked["member"]]
             generation = self._generation
         rows = [[topic, partition, 0] for partition in mine]
         handler.send_json({"generation": generation, "ttl_ms": ttl_ms, "parts": rows})
 
-    def _deal(self, group):
-        """Deal partitions out evenly, by the order of names, to the members heard in time."""
+    def _assign_partitions(self, group):
+        """Assign partitions evenly, in the order of names, to members with an unexpired TTL."""
         now = time.monotonic()
         members = sorted(
             m for (g, m), until in self._members.items() if g == group and until > now
         )
         dealt = {part: members[part % len(members)] for part in range(self._partitions)}
-        if self._dealt.get(group) != dealt:
-            self._dealt[group] = dealt
+        if self._assigned.get(group) != dealt:
+            self._assigned[group] = dealt
             self._generation += 1
         return dealt
 
@@ -209,8 +209,8 @@
         handler.send_json({})
 
 
-class Sampler(Stand):
-    """One backend server: streams items, answers calls, takes orders."""
+class BackendServer(HttpStandin):
+    """Backend server that streams items, answers calls and accepts weight orders."""
 
     def __init__(self, name):
         super().__init__()
@@ -220,11 +220,11 @@
         self.version = 1
         self.event_seconds = 0.01
         self.lost_answers = 0
-        """So many next requests run, and their answers are lost or broken off."""
+        """Number of next requests that run, but whose answers are lost or truncated."""
         self.ended_at = []
-        """When it ended under a fatal request."""
+        """Monotonic times, in seconds, at which a fatal request crashed the server."""
         self.on_ended = None
-        """Called after it has ended, to start it again."""
+        """Callback with this server after a crash, to restart it."""
 
     def answer(self, handler, path, query, body):
         if handler.headers.get("X-Oleanderdeal-Expect-Instance") != self.name:
@@ -258,7 +258,7 @@
         if not path.startswith("/items/"):
             time.sleep(self.event_seconds)
             if is_lost:
-                _break_off(handler)
+                _abort_connection(handler)
                 return
             handler.send(200, b"answer to " + body, headers)
             return
@@ -270,15 +270,15 @@
         for number in range(int(handler.headers.get("Last-Event-Id") or 0) + 1, EVENTS + 1):
             time.sleep(self.event_seconds)
             if is_lost and number > EVENTS // 2:
-                _break_off(handler)
+                _abort_connection(handler)
                 return
             event = f"id: {number}\ndata: {request_id}.{number}\n\n".encode()
             handler.wfile.write(b"%x\r\n%b\r\n" % (len(event), event))
         handler.wfile.write(b"0\r\n\r\n")
 
 
-class Duties(Stand):
-    """The platform where duties are done: keeps reports of use and what is wrong with them."""
+class UsageCollector(HttpStandin):
+    """Receiver of usage reports that records them and the faults found in them."""
 
     def __init__(self):
         super().__init__()
@@ -299,8 +299,8 @@
         handler.send(200)
 
 
-def _break_off(handler):
-    """Close a connection in the middle of an answer."""
+def _abort_connection(handler):
+    """Close the connection in the middle of an answer."""
     handler.close_connection = True
     with contextlib.suppress(OSError):
         handler.connection.shutdown(socket.SHUT_RDWR)
--- a/programs/oleanderdeal/oleanderdeal/command_line.py
+++ b/programs/oleanderdeal/oleanderdeal/command_line.py
@@ -1,4 +1,8 @@
-"""Flags by absl, kept as texts so that one place checks them together with the variables."""
+"""
+Parsing of command-line flags with absl.
+
+Values stay unparsed texts, so that `settings` checks them together with environment variables.
+"""
 
 import collections.abc
 import dataclasses
@@ -9,32 +13,32 @@
 from oleanderdeal import setting_table
 
 _PROGRAM = "oleanderdeal"
-_FORM = "settings are given as --name=value"
-_BUILT_IN_FLAGS = ("flagfile", "undefok")
+_FLAG_SYNTAX = "settings are given as --name=value"
+_ABSL_FLAGS = ("flagfile", "undefok")
 
 
 @dataclasses.dataclass(slots=True)
 class CommandLine:
-    """What stood on the command line."""
+    """Result of parsing a command line."""
 
     texts: dict[str, str]
-    """The text of each flag given, by the setting's name."""
+    """Text of each flag that was given, by the setting's name."""
     unknown: list[str]
-    """Flags that the command does not have."""
+    """Flags that the command does not have, as `--name`."""
     faults: list[findings.Finding]
 
 
-class _RawParser(flags.ArgumentParser[str]):
-    """Takes any text: absl would stop at the first bad value, and we report all of them."""
+class _UncheckedParser(flags.ArgumentParser[str]):
+    """Accepts any text, because absl stops at the first bad value but all must be reported."""
 
     syntactic_help = ""
 
     def parse(self, argument: str) -> str:
-        """Return the text as it is."""
+        """Return the text unchanged."""
         return argument
 
     def flag_type(self) -> str:
-        """Name the type for absl's own messages."""
+        """Return the type's name for absl's messages."""
         return "text"
 
 
@@ -42,11 +46,11 @@
     settings: collections.abc.Sequence[setting_table.Setting],
     argv: collections.abc.Sequence[str],
 ) -> CommandLine:
-    """Return what the flags say; the registry of flags lives as long as this call."""
+    """Parse a command's flags; absl's flag registry exists only during this call."""
     line = CommandLine({}, [], [])
-    kept = _drop_built_in(argv, line)
+    kept = _remove_absl_flags(argv, line)
     for argument in _parse(settings, kept, line):
-        _sort_leftover(argument, line)
+        _report_leftover(argument, line)
     return line
 
 
@@ -55,7 +59,7 @@
     values.set_gnu_getopt(True)
     for setting in settings:
         flag = flags.Flag(
-            parser=_RawParser(),
+            parser=_UncheckedParser(),
             serializer=None,
             name=setting.name,
             default=None,
@@ -66,12 +70,12 @@
     return values
 
 
-def _drop_built_in(argv: collections.abc.Sequence[str], line: CommandLine) -> list[str]:
-    """Take out absl's own flags: one reads files, the other hides what was mistyped."""
+def _remove_absl_flags(argv: collections.abc.Sequence[str], line: CommandLine) -> list[str]:
+    """Remove absl's `--flagfile`, which reads files, and `--undefok`, which hides typos."""
     kept = []
     for argument in argv:
         name = argument.lstrip("-").partition("=")[0]
-        if argument.startswith("-") and name in _BUILT_IN_FLAGS:
+        if argument.startswith("-") and name in _ABSL_FLAGS:
             line.unknown.append(f"--{name}")
         else:
             kept.append(argument)
@@ -81,14 +85,19 @@
 def _parse(
     settings: collections.abc.Sequence[setting_table.Setting], argv: list[str], line: CommandLine
 ) -> list[str]:
-    """Parse; an argument that absl stops at is reported, and the rest parsed without it."""
+    """
+    Parse the flags and return the arguments that remain.
+
+    absl stops at the first malformed argument, so it is reported and the others are parsed again
+    without it.
+    """
     while True:
         values = _define_flags(settings)
         try:
             leftover = values([_PROGRAM, *argv], known_only=True)[1:]
         except (flags.Error, ValueError) as error:
-            culprit = _find_culprit(argv, str(error))
-            line.faults.append(findings.Finding(argv[culprit], "can't be read", _FORM))
+            culprit = _find_rejected_argument(argv, str(error))
+            line.faults.append(findings.Finding(argv[culprit], "can't be read", _FLAG_SYNTAX))
             argv = argv[:culprit] + argv[culprit + 1 :]
             continue
         given = [values[setting.name] for setting in settings if values[setting.name].present]
@@ -96,15 +105,15 @@
         return leftover
 
 
-def _find_culprit(argv: list[str], message: str) -> int:
-    """Return which argument a message of absl is about: it quotes the argument as a whole."""
+def _find_rejected_argument(argv: list[str], message: str) -> int:
+    """Return the index of the argument that absl's message quotes, else that of the last one."""
     quoted = [place for place, text in enumerate(argv) if len(text) > 1 and text in message]
     return max(quoted, key=lambda place: len(argv[place]), default=len(argv) - 1)
 
 
-def _sort_leftover(argument: str, line: CommandLine) -> None:
+def _report_leftover(argument: str, line: CommandLine) -> None:
     name = argument.lstrip("-").partition("=")[0]
     if argument.startswith("-") and name:
         line.unknown.append(f"--{name}")
         return
-    line.faults.append(findings.Finding(argument, "is no flag", _FORM))
+    line.faults.append(findings.Finding(argument, "is no flag", _FLAG_SYNTAX))
--- a/programs/oleanderdeal/oleanderdeal/operator_commands.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: each reads and prints, and only `publish` writes."""
+"""Dispatch of the operators' commands, of which only `publish` writes to the log."""
 
 import collections.abc
 import sys
@@ -14,8 +14,8 @@
 )
 from oleanderdeal.commands import audit, check, publish, report, show
 
-_Run = collections.abc.Callable[[operator_context.OperatorContext], int]
-_RUNS: dict[setting_table.Command, _Run] = {
+_CommandFunction = collections.abc.Callable[[operator_context.OperatorContext], int]
+_COMMAND_FUNCTIONS: dict[setting_table.Command, _CommandFunction] = {
     setting_table.Command.PUBLISH: publish.run_publish,
     setting_table.Command.CHECK: check.run_check,
     setting_table.Command.SHOW: show.run_show,
@@ -25,7 +25,7 @@
 
 
 def run_operator_command(chosen: settings.Settings) -> int:
-    """Run the command on standard input and output, and return the exit status."""
+    """Run a command with standard input and output, and return its exit status."""
     printer = output.JsonOutput if chosen.json else output.TableOutput
     needs_log = chosen.command is not setting_table.Command.CHECK
     context = operator_context.OperatorContext(
@@ -36,9 +36,9 @@
         output=printer(sys.stdout),
         pause=time.sleep,
     )
-    return run_with(context)
+    return run_command(context)
 
 
-def run_with(context: operator_context.OperatorContext) -> int:
-    """Run the command of a context."""
-    return _RUNS[context.settings.command](context)
+def run_command(context: operator_context.OperatorContext) -> int:
+    """Run the command that the context's settings name, and return its exit status."""
+    return _COMMAND_FUNCTIONS[context.settings.command](context)
--- a/programs/oleanderdeal/oleanderdeal/setting_table.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_table.py
@@ -1,4 +1,4 @@
-"""The table of settings: every flag and environment variable that the program knows."""
+"""Table of all settings, each of which is a flag and an environment variable."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Command(enum.StrEnum):
-    """What one run of the program does."""
+    """Commands of the program: long-running processes and operators' commands."""
 
     ENTRY = "entry"
     SIDECAR = "sidecar"
@@ -19,7 +19,7 @@
 
 
 class Kind(enum.StrEnum):
-    """How the text of a setting is read."""
+    """Format of a setting's text; the value describes it in help texts."""
 
     INTEGER = "whole number"
     TEXT = "text"
@@ -34,14 +34,14 @@
 
 
 class BackendKind(enum.StrEnum):
-    """What stands beside a sidecar."""
+    """Kind of backend server that a sidecar serves."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class LogLevel(enum.StrEnum):
-    """The least severe line that is logged."""
+    """Lowest severity that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -54,216 +54,216 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Setting:
-    """One setting: its flag is `--name`, its variable `OLEANDERDEAL_NAME`."""
+    """A setting, given as the flag `--name` or the variable `OLEANDERDEAL_NAME`."""
 
     name: str
     kind: Kind
     unit: str
     default: Default
-    """Nothing means that the setting must be given."""
+    """None if the setting is required."""
     low: int
     high: int
-    """Bounds of a number; of a text, the bounds of its length."""
+    """With `low`, the inclusive bounds of a number or of a text's length in characters."""
     roles: tuple[Command, ...]
     help: str
     choices: tuple[enum.StrEnum, ...] = ()
 
     @property
     def flag(self) -> str:
-        """The flag as it is written on the command line."""
+        """The flag, as `--name`."""
         return f"--{self.name}"
 
     @property
     def variable(self) -> str:
-        """The environment variable."""
+        """The name of the environment variable."""
         return VARIABLE_PREFIX + self.name.upper()
 
 
-_ENTRY = (Command.ENTRY,)
-_SIDECAR = (Command.SIDECAR,)
-_SERVERS = (Command.ENTRY, Command.SIDECAR)
-_LOG_READERS = (*_SERVERS, Command.PUBLISH, Command.SHOW, Command.AUDIT, Command.REPORT)
-_OPERATORS = (Command.PUBLISH, Command.CHECK, Command.SHOW, Command.AUDIT, Command.REPORT)
-_ENTRY_READERS = (Command.PUBLISH, Command.REPORT)
+_ENTRY_ONLY = (Command.ENTRY,)
+_SIDECAR_ONLY = (Command.SIDECAR,)
+_LONG_RUNNING = (Command.ENTRY, Command.SIDECAR)
+_LOG_READERS = (*_LONG_RUNNING, Command.PUBLISH, Command.SHOW, Command.AUDIT, Command.REPORT)
+_OPERATOR_COMMANDS = (Command.PUBLISH, Command.CHECK, Command.SHOW, Command.AUDIT, Command.REPORT)
+_ENTRY_CLIENTS = (Command.PUBLISH, Command.REPORT)
 _FILE_READERS = (Command.PUBLISH, Command.CHECK)
-_EVERYONE = tuple(Command)
+_ALL_COMMANDS = tuple(Command)
 
-_MOST_TEXT = 4096
-_MOST_URL = 1024
-_MOST_TOKENS = 65536
-_MOST_PORT = 65535
+_MAX_TEXT_LENGTH = 4096
+_MAX_URL_LENGTH = 1024
+_MAX_LIST_LENGTH = 65536
+_MAX_PORT = 65535
 _MINUTE_MS = 60_000
 _HOUR_MS = 60 * _MINUTE_MS
 _MEBIBYTE = 1024 * 1024
 
-_BOOLEAN = (0, 1)
+_BOOLEAN_BOUNDS = (0, 1)
 
 TABLE: tuple[Setting, ...] = (
-    # Who this process is and where it listens.
+    # Name and address of the process.
     Setting(
-        "name", Kind.NAME, "", None, 1, 64, _SERVERS,
-        "Name of this process, in logs and between processes.",
+        "name", Kind.NAME, "", None, 1, 64, _LONG_RUNNING,
+        "Name of this process, in log lines and towards other processes.",
     ),
     Setting(
-        "address", Kind.ADDRESS, "IP:port", None, 0, _MOST_PORT, _SERVERS,
-        "Where to listen; port 0 takes a free one.",
+        "address", Kind.ADDRESS, "IP:port", None, 0, _MAX_PORT, _LONG_RUNNING,
+        "Address to listen on; port 0 takes a free port.",
     ),
     Setting(
-        "failure_domain", Kind.NAME, "", None, 1, 64, _SERVERS,
-        "The part of the deployment that fails together with this host.",
+        "failure_domain", Kind.NAME, "", None, 1, 64, _LONG_RUNNING,
+        "Failure domain of this host: the hosts that fail together with it.",
     ),
-    # The platform.
+    # Services of the platform.
     Setting(
-        "log_url", Kind.URL, "", None, 1, _MOST_URL, _LOG_READERS,
-        "The platform's log service.",
+        "log_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _LOG_READERS,
+        "URL of the platform's log service.",
     ),
     Setting(
         "log_timeout_ms", Kind.INTEGER, "ms", 2000, 10, _MINUTE_MS, _LOG_READERS,
         "Deadline of one call to the log service.",
     ),
     Setting(
-        "hosts_url", Kind.URL, "", None, 1, _MOST_URL, _ENTRY,
-        "The platform's list of hosts.",
+        "hosts_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _ENTRY_ONLY,
+        "URL of the platform's list of hosts.",
     ),
     Setting(
-        "configuration_poll_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _SERVERS,
-        "How long one read of the configuration stream waits for a new record.",
+        "configuration_poll_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _LONG_RUNNING,
+        "Time that one read of the configuration stream waits for a new record.",
     ),
     # Logs and metrics.
     Setting(
-        "log_level", Kind.CHOICE, "", LogLevel.INFO.value, 0, 0, _EVERYONE,
-        "The least severe line that is logged, on standard error.", tuple(LogLevel),
+        "log_level", Kind.CHOICE, "", LogLevel.INFO.value, 0, 0, _ALL_COMMANDS,
+        "Lowest severity of the log lines that are written to standard error.", tuple(LogLevel),
     ),
     Setting(
-        "log_json", Kind.BOOLEAN, "", False, *_BOOLEAN, _EVERYONE,
-        "Log lines as JSON.",
+        "log_json", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _ALL_COMMANDS,
+        "Write log lines as JSON.",
     ),
     Setting(
-        "statsd_host", Kind.IP, "", "", 0, 64, _SERVERS,
-        "IP number of the statsd server; empty keeps metrics in memory only.",
+        "statsd_host", Kind.IP, "", "", 0, 64, _LONG_RUNNING,
+        "IP address of the statsd server; if empty, metrics are kept in memory only.",
     ),
     Setting(
-        "statsd_port", Kind.INTEGER, "port", 8125, 1, _MOST_PORT, _SERVERS,
+        "statsd_port", Kind.INTEGER, "port", 8125, 1, _MAX_PORT, _LONG_RUNNING,
         "UDP port of the statsd server.",
     ),
-    # Access.
+    # Access tokens.
     Setting(
-        "process_token", Kind.TEXT, "secret", None, 1, _MOST_TEXT, _SERVERS,
-        "Shared by the system's own processes; better set by variable than by flag.",
+        "process_token", Kind.TEXT, "secret", None, 1, _MAX_TEXT_LENGTH, _LONG_RUNNING,
+        "Secret shared by entries and sidecars; better set by variable than by flag.",
     ),
     Setting(
-        "customer_tokens", Kind.TOKEN_LIST, "secret", "", 0, _MOST_TOKENS, _ENTRY,
-        "Tokens as customer=token,...; the name operator stands for the operators."
-        " Who is not listed is not let in.",
+        "customer_tokens", Kind.TOKEN_LIST, "secret", "", 0, _MAX_LIST_LENGTH, _ENTRY_ONLY,
+        "Access tokens as customer=token,...; the name operator stands for the operators."
+        " A customer that is not listed is denied access.",
     ),
     # A sidecar and its backend server.
     Setting(
-        "backend", Kind.NAME, "", None, 1, 64, _SIDECAR,
-        "The group of backend servers that this one belongs to, as contracts name it.",
+        "backend", Kind.NAME, "", None, 1, 64, _SIDECAR_ONLY,
+        "Group of backend servers that this one belongs to, as contracts name it.",
     ),
     Setting(
-        "backend_kind", Kind.CHOICE, "", None, 0, 0, _SIDECAR,
-        "What the backend server is.", tuple(BackendKind),
+        "backend_kind", Kind.CHOICE, "", None, 0, 0, _SIDECAR_ONLY,
+        "Kind of the backend server.", tuple(BackendKind),
     ),
     Setting(
-        "backend_url", Kind.URL, "", None, 1, _MOST_URL, _SIDECAR,
-        "Where the backend server answers.",
+        "backend_url", Kind.URL, "", None, 1, _MAX_URL_LENGTH, _SIDECAR_ONLY,
+        "URL of the backend server.",
     ),
     Setting(
-        "slots", Kind.INTEGER, "requests", 4, 1, 1024, _SIDECAR,
-        "Requests that run at the backend server at a time.",
+        "slots", Kind.INTEGER, "requests", 4, 1, 1024, _SIDECAR_ONLY,
+        "Maximum number of requests that run on the backend server at a time.",
     ),
     Setting(
-        "queue_length", Kind.INTEGER, "requests", 256, 1, 100_000, _SIDECAR,
-        "Requests that wait at most; one more is refused as not run.",
+        "queue_length", Kind.INTEGER, "requests", 256, 1, 100_000, _SIDECAR_ONLY,
+        "Maximum number of waiting requests; further ones are refused as not run.",
     ),
     Setting(
-        "model", Kind.NAME, "", "", 0, 64, _SIDECAR,
-        "The model that the engine runs; an engine needs it.",
+        "model", Kind.NAME, "", "", 0, 64, _SIDECAR_ONLY,
+        "Model that the engine runs; required for an engine.",
     ),
     Setting(
-        "checks_fencing", Kind.BOOLEAN, "", False, *_BOOLEAN, _SIDECAR,
-        "Whether the engine refuses an order with an old fencing number.",
+        "checks_fencing", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _SIDECAR_ONLY,
+        "Whether the engine refuses an order with an outdated fencing number.",
     ),
     Setting(
-        "load_timeout_ms", Kind.INTEGER, "ms", 10_000, 10, _HOUR_MS, _SIDECAR,
+        "load_timeout_ms", Kind.INTEGER, "ms", 10_000, 10, _HOUR_MS, _SIDECAR_ONLY,
         "Deadline of one order to load weights.",
     ),
     Setting(
-        "load_spread_ms", Kind.INTEGER, "ms", 0, 0, _HOUR_MS, _SIDECAR,
-        "Loads of a new version are spread over so long across the sidecars.",
+        "load_spread_ms", Kind.INTEGER, "ms", 0, 0, _HOUR_MS, _SIDECAR_ONLY,
+        "Time over which the sidecars' loads of a new version are spread.",
     ),
     Setting(
-        "kept_answers", Kind.INTEGER, "answers", 10_000, 1, 1_000_000, _SIDECAR,
-        "Answers kept for a request that is sent again; the oldest make room.",
+        "kept_answers", Kind.INTEGER, "answers", 10_000, 1, 1_000_000, _SIDECAR_ONLY,
+        "Maximum number of answers kept for repeated requests; the oldest are evicted first.",
     ),
     Setting(
         "kept_answer_bytes", Kind.INTEGER, "bytes", 64 * _MEBIBYTE, _MEBIBYTE, 1024 * _MEBIBYTE,
-        _SIDECAR,
-        "Bytes of the answers kept; the oldest make room.",
+        _SIDECAR_ONLY,
+        "Maximum total size of the kept answers; the oldest are evicted first.",
     ),
-    # Between processes.
+    # Connections between processes.
     Setting(
-        "heartbeat_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _SERVERS,
-        "How often an idle connection between processes carries a heartbeat.",
+        "heartbeat_ms", Kind.INTEGER, "ms", 500, 10, _MINUTE_MS, _LONG_RUNNING,
+        "Interval of heartbeats on an idle connection between processes.",
     ),
     Setting(
-        "peer_limit", Kind.INTEGER, "sidecars", 20, 1, 1000, _ENTRY,
-        "Sidecars that one entry connects to at most.",
+        "peer_limit", Kind.INTEGER, "sidecars", 20, 1, 1000, _ENTRY_ONLY,
+        "Maximum number of sidecars that one entry connects to.",
     ),
     # An entry.
     Setting(
-        "http_threads", Kind.INTEGER, "threads", 64, 1, 1024, _ENTRY,
-        "Requests that an entry answers at a time; further ones wait in line.",
+        "http_threads", Kind.INTEGER, "threads", 64, 1, 1024, _ENTRY_ONLY,
+        "Maximum number of requests that an entry answers at a time; further ones are queued.",
     ),
     Setting(
-        "sample_tasks", Kind.INTEGER, "samples", 64, 1, 4096, _ENTRY,
-        "Samples of training steps that an entry has in the making at a time.",
+        "sample_tasks", Kind.INTEGER, "samples", 64, 1, 4096, _ENTRY_ONLY,
+        "Maximum number of samples of training steps that an entry generates at a time.",
     ),
     Setting(
-        "claim_shards", Kind.INTEGER, "streams", 4, 1, 64, _ENTRY,
-        "Streams that claims are spread over; must be the same at every entry.",
+        "claim_shards", Kind.INTEGER, "streams", 4, 1, 64, _ENTRY_ONLY,
+        "Number of streams that claims are spread over; must be the same at every entry.",
     ),
     Setting(
-        "claim_window", Kind.INTEGER, "claims", 100_000, 100, 10_000_000, _ENTRY,
-        "Claims of one stream kept in memory; a key older than these is refused.",
+        "claim_window", Kind.INTEGER, "claims", 100_000, 100, 10_000_000, _ENTRY_ONLY,
+        "Number of claims of one stream kept in memory; a key older than these is refused.",
     ),
     Setting(
-        "snapshot_interval_ms", Kind.INTEGER, "ms", 600_000, 100, _HOUR_MS, _ENTRY,
-        "A snapshot of what is in force is written to the log this often; well below the time"
+        "snapshot_interval_ms", Kind.INTEGER, "ms", 600_000, 100, _HOUR_MS, _ENTRY_ONLY,
+        "Interval of snapshots of the configuration in the log; must be well below the time"
         " that the log keeps records.",
     ),
     Setting(
-        "drain_ms", Kind.INTEGER, "ms", 600_000, 0, _HOUR_MS, _SERVERS,
-        "How long a stopping process may take to finish what runs.",
+        "drain_ms", Kind.INTEGER, "ms", 600_000, 0, _HOUR_MS, _LONG_RUNNING,
+        "Time that a stopping process has to finish the requests in progress.",
     ),
     # Operators' commands.
     Setting(
-        "file", Kind.TEXT, "path", "-", 1, _MOST_TEXT, _FILE_READERS,
-        "The contract to read, in YAML or JSON; - is standard input.",
+        "file", Kind.TEXT, "path", "-", 1, _MAX_TEXT_LENGTH, _FILE_READERS,
+        "File of the contract, in YAML or JSON; - is standard input.",
     ),
     Setting(
         "by", Kind.TEXT, "", None, 1, 200, (Command.PUBLISH,),
-        "Who publishes, for the audit trail.",
+        "Name of the publisher, for the audit trail.",
     ),
     Setting(
         "customer", Kind.NAME, "", "", 0, 64, (Command.SHOW, Command.AUDIT, Command.REPORT),
-        "Show this customer only.",
+        "Limit the output to this customer.",
     ),
     Setting(
-        "entries", Kind.URL_LIST, "", "", 0, _MOST_TOKENS, _ENTRY_READERS,
-        "The entries to ask, each one itself rather than the balancer.",
+        "entries", Kind.URL_LIST, "", "", 0, _MAX_LIST_LENGTH, _ENTRY_CLIENTS,
+        "URLs of the entries to ask: of each entry itself, not of a load balancer.",
     ),
     Setting(
-        "operator_token", Kind.TEXT, "secret", "", 0, _MOST_TEXT, _ENTRY_READERS,
-        "The operators' token, sent to the entries.",
+        "operator_token", Kind.TEXT, "secret", "", 0, _MAX_TEXT_LENGTH, _ENTRY_CLIENTS,
+        "Access token of the operators, sent to the entries.",
     ),
     Setting(
-        "wait_ms", Kind.INTEGER, "ms", 8000, 1, _HOUR_MS, _OPERATORS,
-        "How long the whole command may take.",
+        "wait_ms", Kind.INTEGER, "ms", 8000, 1, _HOUR_MS, _OPERATOR_COMMANDS,
+        "Time limit of the whole command.",
     ),
     Setting(
-        "json", Kind.BOOLEAN, "", False, *_BOOLEAN, _OPERATORS,
+        "json", Kind.BOOLEAN, "", False, *_BOOLEAN_BOUNDS, _OPERATOR_COMMANDS,
         "Print JSON lines instead of tables.",
     ),
 )  # fmt: skip
