--- a/standins/oleander_standins/batch.py
+++ b/standins/oleander_standins/batch.py
@@ -7,8 +7,8 @@
 import threading
 import time
 
-_MOST_SNAPSHOTS = 4096
-_LONGEST_WAIT_SECONDS = 600.0
+_MAX_SNAPSHOTS = 4096
+_MAX_WAIT_SECONDS = 600.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
         self._waiting: list[tuple[int, int]] = []
         self._arrivals = itertools.count()
         self._snapshots: collections.deque[tuple[float, Load]] = collections.deque(
-            [(0.0, Load(0, 0))], _MOST_SNAPSHOTS
+            [(0.0, Load(0, 0))], _MAX_SNAPSHOTS
         )
 
     @property
@@ -47,7 +47,7 @@
         with self._changed:
             ticket = (priority, next(self._arrivals))
             heapq.heappush(self._waiting, ticket)
-            self._note()
+            self._record_load()
             got = self._changed.wait_for(
                 lambda: (
                     cancelled.is_set() or (self._running < slots and self._waiting[0] == ticket)
@@ -58,14 +58,14 @@
             entered = got and not cancelled.is_set()
             self._running += entered
             self.peak_running = max(self.peak_running, self._running)
-            self._note()
+            self._record_load()
             return entered
 
     def leave(self) -> None:
         """Give a slot back."""
         with self._changed:
             self._running -= 1
-            self._note()
+            self._record_load()
 
     def wake(self) -> None:
         """Let waiting generations see that they were cancelled."""
@@ -79,7 +79,7 @@
             known = [load for changed_at, load in self._snapshots if changed_at <= newest]
             return known[-1] if known else self._snapshots[0][1]
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         load = Load(self._running, len(self._waiting))
         self._snapshots.append((time.monotonic(), load))
         self._changed.notify_all()
--- a/standins/oleander_standins/demo.py
+++ b/standins/oleander_standins/demo.py
@@ -8,7 +8,7 @@
 from oleander_standins import deployment, processes
 
 _EXAMPLES = pathlib.Path(__file__).resolve().parents[2] / "docs" / "examples"
-_TRAINER_SECONDS = 120
+_TRAINER_TIMEOUT_SECONDS = 120
 
 HOSTS = (
     deployment.BackendHost("desk-a", "desk", "service", "a"),
@@ -135,7 +135,7 @@
     process = deployed.cluster.start(
         f"trainer-{trainer}", "oleander_standins.trainer", *flags, ready=False
     )
-    code = process.wait_exit(_TRAINER_SECONDS)
+    code = process.wait_exit(_TRAINER_TIMEOUT_SECONDS)
     lines = [process.lines.get_nowait() for _ in range(process.lines.qsize())]
     assert code == 0, f"trainer {trainer}: exit code {code}: {lines} {process.read_log()}"
     return f"trainer {trainer}: {json.loads(lines[-1])}"
--- a/standins/oleander_standins/deployment.py
+++ b/standins/oleander_standins/deployment.py
@@ -15,9 +15,9 @@
 DOMAINS = ("a", "b", "c")
 PROCESS_TOKEN = "between-processes"
 OPERATOR_TOKEN = "operators-only"
-_COMMAND_SECONDS = 30
-_MOST_STARTS = 8
-_READY_SECONDS = 20
+_COMMAND_TIMEOUT_SECONDS = 30
+_MAX_PARALLEL_STARTS = 8
+_READY_TIMEOUT_SECONDS = 20
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -90,7 +90,7 @@
 
     def start_hosts(self, hosts: collections.abc.Sequence[BackendHost]) -> None:
         """Start several hosts at once."""
-        with concurrent.futures.ThreadPoolExecutor(_MOST_STARTS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_STARTS) as pool:
             for future in [pool.submit(self.start_host, host) for host in hosts]:
                 future.result()
 
@@ -99,7 +99,7 @@
         names = [
             f"entry-{DOMAINS[number % len(DOMAINS)]}{number // 3 or ''}" for number in range(count)
         ]
-        with concurrent.futures.ThreadPoolExecutor(_MOST_STARTS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_STARTS) as pool:
             for future in [pool.submit(self.start_entry, n, n[6], *flags) for n in names]:
                 future.result()
         self._entries.sort()
@@ -171,7 +171,7 @@
             processes.wait_until(
                 functools.partial(self._has_peers, name, peers),
                 f"{name} has {peers} peers",
-                _READY_SECONDS,
+                _READY_TIMEOUT_SECONDS,
             )
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -180,7 +180,7 @@
             [*self._program, *arguments],
             capture_output=True,
             text=True,
-            timeout=_COMMAND_SECONDS,
+            timeout=_COMMAND_TIMEOUT_SECONDS,
             check=False,
             env=self._environ,
         )
--- a/standins/oleander_standins/engine.py
+++ b/standins/oleander_standins/engine.py
@@ -8,9 +8,9 @@
 
 from oleander_standins import batch, generations, server, weights
 
-_MOST_GENERATIONS_KEPT = 20_000
-_MOST_WAITING = 10_000
-_CROWDING = 0.02
+_MAX_KEPT_GENERATIONS = 20_000
+_MAX_WAITING = 10_000
+_SLOWDOWN_PER_GENERATION = 0.02
 """How much slower each token gets for each other generation in the batch."""
 
 
@@ -112,7 +112,7 @@
         return counts
 
     def _answer_generate(self, exchange: server.Exchange) -> None:
-        if self.settings.refuse or self._batch.waiting >= _MOST_WAITING:
+        if self.settings.refuse or self._batch.waiting >= _MAX_WAITING:
             with self.changed:
                 self._counts["refused"] += 1
             exchange.send_json(503, {"reason": "refused"}, retry_after_seconds=1)
@@ -131,7 +131,7 @@
                 return False
             self._live[generation.request_id] = generation
             self._kept[self._find_free_name(generation.request_id)] = generation
-            if len(self._kept) > _MOST_GENERATIONS_KEPT:
+            if len(self._kept) > _MAX_KEPT_GENERATIONS:
                 self._kept.pop(next(iter(self._kept)))
             return True
 
@@ -163,8 +163,8 @@
             generation.outcome = generations.RUNNING
             cuts = self.take("cut")
             self._prefill(generation)
-            self.wait_while(lambda: self._is_held_back(generation))
-            while not generation.cancelled.wait(self._read_pace(generation)):
+            self.wait_while(lambda: self._is_start_paused(generation))
+            while not generation.cancelled.wait(self._compute_piece_seconds(generation)):
                 exchange.send_line(self._make_piece(generation))
                 if generation.outcome == generations.FINISHED or cuts:
                     return
@@ -188,12 +188,12 @@
         after = self.settings.pause_after
         return 0 < after <= generation.position and not generation.cancelled.is_set()
 
-    def _is_held_back(self, generation: generations.Generation) -> bool:
+    def _is_start_paused(self, generation: generations.Generation) -> bool:
         return self.settings.pause_start and not generation.cancelled.is_set()
 
-    def _read_pace(self, generation: generations.Generation) -> float:
+    def _compute_piece_seconds(self, generation: generations.Generation) -> float:
         count = min(self.settings.piece_tokens, generation.left)
-        crowding = 1.0 + _CROWDING * (self._batch.running - 1)
+        crowding = 1.0 + _SLOWDOWN_PER_GENERATION * (self._batch.running - 1)
         return count * self.settings.token_ms * crowding * self.settings.slow_factor / 1000
 
     def _make_piece(self, generation: generations.Generation) -> dict[str, typing.Any]:
--- a/standins/oleander_standins/hostlist.py
+++ b/standins/oleander_standins/hostlist.py
@@ -7,7 +7,7 @@
 
 from oleander_standins import server
 
-_MOST_CHANGES = 1000
+_MAX_CHANGES = 1000
 _LEAVING = "leaving"
 
 _Host = dict[str, str]
@@ -31,7 +31,7 @@
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
         self._changes: collections.deque[tuple[float, list[_Host]]] = collections.deque(
-            [(0.0, [])], _MOST_CHANGES
+            [(0.0, [])], _MAX_CHANGES
         )
         self._reads = 0
 
--- a/standins/oleander_standins/logservice.py
+++ b/standins/oleander_standins/logservice.py
@@ -10,9 +10,9 @@
 
 from oleander_standins import server
 
-_MOST_STREAMS = 1000
-_MOST_RECORDS_READ = 500
-_LONGEST_WAIT_MS = 30_000
+_MAX_STREAMS = 1000
+_MAX_RECORDS_PER_READ = 500
+_MAX_WAIT_MS = 30_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -81,8 +81,8 @@
         super().__init__(settings)
         self._streams: dict[str, _Stream] = {}
         self._counts: collections.Counter[str] = collections.Counter()
-        self._allowance = math.inf
-        self._allowance_at = time.monotonic()
+        self._bucket_level = math.inf
+        self._bucket_refilled_at = time.monotonic()
 
     def answer(self, exchange: server.Exchange) -> None:
         """Append or read."""
@@ -142,14 +142,14 @@
             exchange.send_json(400, {"reason": "too many streams"})
             return
         offset = _read_number(exchange, "offset", 0)
-        limit = min(_read_number(exchange, "limit", _MOST_RECORDS_READ), _MOST_RECORDS_READ)
-        wait_ms = min(_read_number(exchange, "wait_ms", 0), _LONGEST_WAIT_MS)
+        limit = min(_read_number(exchange, "limit", _MAX_RECORDS_PER_READ), _MAX_RECORDS_PER_READ)
+        wait_ms = min(_read_number(exchange, "wait_ms", 0), _MAX_WAIT_MS)
         body = stream.read(offset, limit, wait_ms)
         exchange.send_bytes(200, body, {"Content-Type": "application/json"})
 
     def _find_stream(self, name: str) -> _Stream | None:
         with self.changed:
-            if name not in self._streams and len(self._streams) < _MOST_STREAMS:
+            if name not in self._streams and len(self._streams) < _MAX_STREAMS:
                 self._streams[name] = _Stream()
             return self._streams.get(name)
 
@@ -159,13 +159,13 @@
             return True
         with self.changed:
             now = time.monotonic()
-            refilled = self._allowance + (now - self._allowance_at) * rate
-            self._allowance = min(refilled, float(rate))
-            self._allowance_at = now
-            if self._allowance < 1.0:
+            refilled = self._bucket_level + (now - self._bucket_refilled_at) * rate
+            self._bucket_level = min(refilled, float(rate))
+            self._bucket_refilled_at = now
+            if self._bucket_level < 1.0:
                 self._counts["limited"] += 1
                 return False
-            self._allowance -= 1.0
+            self._bucket_level -= 1.0
             return True
 
 
--- a/standins/oleander_standins/processes.py
+++ b/standins/oleander_standins/processes.py
@@ -14,12 +14,12 @@
 
 from oleander_standins import client, relay
 
-_START_SECONDS = 15.0
-_STOP_SECONDS = 10.0
-_CALL_SECONDS = 10.0
-_READY = "listening on "
-_MOST_LINES = 100_000
-_MOST_LOG_CHARACTERS = 4000
+_START_TIMEOUT_SECONDS = 15.0
+_STOP_TIMEOUT_SECONDS = 10.0
+_CALL_TIMEOUT_SECONDS = 10.0
+_READY_PREFIX = "listening on "
+_MAX_LINES = 100_000
+_MAX_LOG_CHARACTERS = 4000
 
 
 def call(
@@ -27,7 +27,7 @@
     url: str,
     body: typing.Any = None,
     headers: dict[str, str] | None = None,
-    timeout: float = _CALL_SECONDS,
+    timeout: float = _CALL_TIMEOUT_SECONDS,
 ) -> client.Response:
     """Return the answer, with status, headers and body; a body that is no bytes goes as JSON."""
     if body is not None and not isinstance(body, bytes):
@@ -61,7 +61,7 @@
         """Start a command, in its own environment or in this process's."""
         self.name = name
         self.address = ""
-        self.lines: queue.Queue[str] = queue.Queue(_MOST_LINES)
+        self.lines: queue.Queue[str] = queue.Queue(_MAX_LINES)
         self._log_path = log_path
         with log_path.open("ab") as log_file:
             self._child = subprocess.Popen(
@@ -92,9 +92,9 @@
 
     def read_log(self) -> str:
         """Return the end of what it wrote to standard error."""
-        return self._log_path.read_text(errors="replace")[-_MOST_LOG_CHARACTERS:]
+        return self._log_path.read_text(errors="replace")[-_MAX_LOG_CHARACTERS:]
 
-    def wait_ready(self, seconds: float = _START_SECONDS) -> None:
+    def wait_ready(self, seconds: float = _START_TIMEOUT_SECONDS) -> None:
         """Wait for the line that tells where it listens."""
         deadline = time.monotonic() + seconds
         while not self._ready.wait(0.02):
@@ -103,13 +103,13 @@
                 f"{self.name} is not ready (exit code {self.code}): {self.read_log()}"
             )
 
-    def wait_exit(self, seconds: float = _STOP_SECONDS) -> int:
+    def wait_exit(self, seconds: float = _STOP_TIMEOUT_SECONDS) -> int:
         """Wait for the end; return the exit code."""
         return self._child.wait(seconds)
 
     def wait_lines(self) -> list[str]:
         """Return the lines not taken yet of a process that has ended."""
-        self._reader.join(_STOP_SECONDS)
+        self._reader.join(_STOP_TIMEOUT_SECONDS)
         return [self.lines.get_nowait() for _ in range(self.lines.qsize())]
 
     def send(self, signal_number: int) -> None:
@@ -119,16 +119,16 @@
     def close(self) -> None:
         """End it, frozen or not, and take back what it used."""
         self.send(signal.SIGKILL)
-        self._child.wait(_STOP_SECONDS)
-        self._reader.join(_STOP_SECONDS)
+        self._child.wait(_STOP_TIMEOUT_SECONDS)
+        self._reader.join(_STOP_TIMEOUT_SECONDS)
         if self._child.stdout is not None:
             self._child.stdout.close()
 
     def _read_lines(self) -> None:
         for line in self._child.stdout or ():
             line = line.rstrip("\n")
-            if line.startswith(_READY) and not self.address:
-                self.address = line.removeprefix(_READY)
+            if line.startswith(_READY_PREFIX) and not self.address:
+                self.address = line.removeprefix(_READY_PREFIX)
                 self._ready.set()
             elif not self.lines.full():
                 self.lines.put_nowait(line)
@@ -206,7 +206,7 @@
         """Let a paused process go on."""
         self._processes[name].send(signal.SIGCONT)
 
-    def terminate(self, name: str, seconds: float = _STOP_SECONDS) -> int:
+    def terminate(self, name: str, seconds: float = _STOP_TIMEOUT_SECONDS) -> int:
         """Ask a process to stop; return its exit code."""
         self._processes[name].send(signal.SIGTERM)
         return self._processes[name].wait_exit(seconds)
--- a/standins/oleander_standins/recordlog.py
+++ b/standins/oleander_standins/recordlog.py
@@ -72,7 +72,7 @@
     ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError]:
         """Append all records or none."""
         if self.faults.is_silent:
-            return expression.Error(_let_pass(deadline))
+            return expression.Error(_wait_for_timeout(deadline))
         appended = self._append(_LateAppend(topic, partition, records, None))
         if appended.is_error():
             assert isinstance(appended.error, recordlog.LogError)
@@ -95,7 +95,7 @@
     ) -> expression.Result[recordlog.RawPage, recordlog.LogError]:
         """Return records from an offset on; never waits for one."""
         if self.faults.is_silent:
-            return expression.Error(_let_pass(deadline))
+            return expression.Error(_wait_for_timeout(deadline))
         if self.faults.is_down:
             return expression.Error(recordlog.LogError("down", False, 0))
         with self._lock:
@@ -184,7 +184,7 @@
         return expression.Ok(recordlog.AppendedRange(end, end + len(append.records)))
 
 
-def _let_pass(deadline: clock.Deadline) -> recordlog.LogError:
+def _wait_for_timeout(deadline: clock.Deadline) -> recordlog.LogError:
     """Wait in vain for an answer."""
     time.sleep(max(0.0, deadline.remaining))
     return recordlog.LogError("no answer", True, 0)
--- a/standins/oleander_standins/relay.py
+++ b/standins/oleander_standins/relay.py
@@ -11,11 +11,11 @@
 CUT = "cut"
 DAMAGED = "damaged"
 _SAMPLE_TEXT = b'"text":"'
-_MOST_BYTES = 64 * 1024
-_MOST_CONNECTIONS = 1000
-_CONNECT_SECONDS = 5.0
-_LONGEST_HOLD_SECONDS = 600.0
-_JOIN_SECONDS = 5.0
+_MAX_READ_BYTES = 64 * 1024
+_MAX_CONNECTIONS = 1000
+_CONNECT_TIMEOUT_SECONDS = 5.0
+_MAX_HOLD_SECONDS = 600.0
+_JOIN_TIMEOUT_SECONDS = 5.0
 
 
 class Relay:
@@ -144,9 +144,9 @@
             self._is_closed = True
             self._close_pairs()
             threads = list(self._threads)
-        _shut(self._listener)
+        _shut_down_socket(self._listener)
         for thread in threads:
-            thread.join(_JOIN_SECONDS)
+            thread.join(_JOIN_TIMEOUT_SECONDS)
         self._listener.close()
 
     def _start_thread(self, task: collections.abc.Callable[..., None], *arguments: object) -> None:
@@ -168,18 +168,18 @@
                 client, _ = self._listener.accept()
             except OSError:
                 return
-            self._start_thread(self._join_target, client)
+            self._start_thread(self._connect_to_target, client)
 
-    def _join_target(self, client: socket.socket) -> None:
+    def _connect_to_target(self, client: socket.socket) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            server = socket.create_connection((host, int(port)), _CONNECT_SECONDS)
+            server = socket.create_connection((host, int(port)), _CONNECT_TIMEOUT_SECONDS)
         except OSError:
             client.close()
             return
         pair = _Pair(client, server)
         with self._changed:
-            refused = self._is_cut or self._is_closed or len(self._pairs) >= _MOST_CONNECTIONS
+            refused = self._is_cut or self._is_closed or len(self._pairs) >= _MAX_CONNECTIONS
             if not refused:
                 self._pairs.add(pair)
         if refused:
@@ -192,7 +192,7 @@
         self, pair: "_Pair", source: socket.socket, sink: socket.socket, direction: str
     ) -> None:
         try:
-            while data := source.recv(_MOST_BYTES):
+            while data := source.recv(_MAX_READ_BYTES):
                 if direction == TO_SERVER:
                     self._hold_matching(pair, data)
                 pair.held[direction] = data
@@ -229,7 +229,7 @@
         with self._changed:
             self._changed.wait_for(
                 lambda: pair.is_closed or not self._is_blocked(pair, direction),
-                _LONGEST_HOLD_SECONDS,
+                _MAX_HOLD_SECONDS,
             )
 
     def _is_blocked(self, pair: "_Pair", direction: str) -> bool:
@@ -268,8 +268,8 @@
     def shut(self) -> None:
         """Make blocked reads of both sockets end."""
         self.is_closed = True
-        _shut(self.client)
-        _shut(self.server)
+        _shut_down_socket(self.client)
+        _shut_down_socket(self.server)
 
     def close(self) -> None:
         """Close both sockets."""
@@ -278,6 +278,6 @@
         self.server.close()
 
 
-def _shut(end: socket.socket) -> None:
+def _shut_down_socket(end: socket.socket) -> None:
     with contextlib.suppress(OSError):
         end.shutdown(socket.SHUT_RDWR)
--- a/standins/oleander_standins/server.py
+++ b/standins/oleander_standins/server.py
@@ -16,9 +16,9 @@
 import urllib.parse
 
 _HOST = "127.0.0.1"
-_MOST_BODY_BYTES = 64 * 1024 * 1024
-_IDLE_SECONDS = 300.0
-_LONGEST_HANG_SECONDS = 600.0
+_MAX_BODY_BYTES = 64 * 1024 * 1024
+_IDLE_TIMEOUT_SECONDS = 300.0
+_MAX_HANG_SECONDS = 600.0
 _CONTROL_PATH = "/control"
 REFUSE = "refuse"
 HANG = "hang"
@@ -133,7 +133,7 @@
         problems = [
             f"{name} is no {type(getattr(self.settings, name)).__name__}"
             for name, value in settings.items()
-            if not _fits(value, getattr(self.settings, name))
+            if not _has_setting_type(value, getattr(self.settings, name))
         ]
         if settings.get("outage", "") not in _OUTAGES:
             problems.append(f"outage is none of {_OUTAGES}")
@@ -143,11 +143,11 @@
             for name, value in settings.items():
                 setattr(self.settings, name, type(getattr(self.settings, name))(value))
             commands = [name for name in content if name not in fields]
-            refused = [name for name in commands if not self._obey(name, content[name])]
+            refused = [name for name in commands if not self._run_command(name, content[name])]
             self.changed.notify_all()
         return [f"{name} is unknown or malformed" for name in refused]
 
-    def _obey(self, name: str, value: typing.Any) -> bool:
+    def _run_command(self, name: str, value: typing.Any) -> bool:
         try:
             return self.command(name, value)
         except (KeyError, TypeError, ValueError):
@@ -165,7 +165,7 @@
     def wait_while(self, holds: collections.abc.Callable[[], bool]) -> None:
         """Block while a setting holds, ten minutes at most."""
         with self.changed:
-            self.changed.wait_for(lambda: not holds(), _LONGEST_HANG_SECONDS)
+            self.changed.wait_for(lambda: not holds(), _MAX_HANG_SECONDS)
 
     def serve(self, exchange: Exchange) -> None:
         """Answer a request, or act out the fault that is set."""
@@ -189,7 +189,7 @@
         exchange.send_json(200, counts | {"settings": dataclasses.asdict(self.settings)})
 
 
-def _fits(value: typing.Any, current: typing.Any) -> bool:
+def _has_setting_type(value: typing.Any, current: typing.Any) -> bool:
     if isinstance(current, float):
         return type(value) in {int, float}
     return type(value) is type(current)
@@ -201,7 +201,7 @@
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
     wbufsize = 64 * 1024
-    timeout = _IDLE_SECONDS
+    timeout = _IDLE_TIMEOUT_SECONDS
     stand_in: StandIn[typing.Any]
 
     def finish_head(self, body: bytes) -> None:
@@ -215,7 +215,7 @@
 
     def _serve(self) -> None:
         length = self.headers.get("Content-Length", "0")
-        if not length.isdigit() or int(length) > _MOST_BODY_BYTES:
+        if not length.isdigit() or int(length) > _MAX_BODY_BYTES:
             self.send_error(413)
             self.close_connection = True
             return
--- a/standins/oleander_standins/service.py
+++ b/standins/oleander_standins/service.py
@@ -8,7 +8,7 @@
 
 from oleander_standins import server
 
-_MOST_KEYS = 100_000
+_MAX_KEYS = 100_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -96,7 +96,7 @@
             run = self._runs
             self._runs_by_operation[operation] += 1
             self._runs_by_key[key] = self._runs_by_key.pop(key, 0) + 1
-            if len(self._runs_by_key) > _MOST_KEYS:
+            if len(self._runs_by_key) > _MAX_KEYS:
                 self._runs_by_key.pop(next(iter(self._runs_by_key)))
         time.sleep(self.settings.service_ms / 1000)
         with self.changed:
--- a/standins/oleander_standins/site.py
+++ b/standins/oleander_standins/site.py
@@ -7,7 +7,7 @@
 
 from oleander_standins import deployment, processes
 
-_MOST_SECONDS = 3600
+_MAX_RUN_SECONDS = 3600
 _ENVIRONMENT_FILE = pathlib.Path("build") / "site.env"
 _HOSTS = (
     deployment.BackendHost("desk-a", "desk", "service", "a"),
@@ -31,7 +31,7 @@
         deployed.start_entries(2)
         deployed.await_ready(len(_HOSTS))
         describe_site(deployed)
-        stopped.wait(_MOST_SECONDS)
+        stopped.wait(_MAX_RUN_SECONDS)
     finally:
         cluster.stop()
 
--- a/standins/oleander_standins/trainer.py
+++ b/standins/oleander_standins/trainer.py
@@ -63,8 +63,8 @@
         store = self._options.weights_url
         url = f"{store}/weights/{self._options.model}/{self._version}"
         if store:
-            self._client.store_weights(url, _WEIGHTS, self._start_limit())
-        self._client.put_version(self._version, url, self._start_limit())
+            self._client.store_weights(url, _WEIGHTS, self._compute_deadline())
+        self._client.put_version(self._version, url, self._compute_deadline())
 
     def _take_step(self, step: int) -> None:
         groups = [self._create_group(step, index) for index in range(self._options.groups)]
@@ -97,7 +97,7 @@
     def _pull_all(
         self, step: int, groups: list[trainer_checks.Group], check: trainer_checks.StepCheck
     ) -> None:
-        give_up_at = self._start_limit()
+        give_up_at = self._compute_deadline()
         collector = self._put_step(step, groups, check, give_up_at)
         while not check.is_complete:
             if time.monotonic() >= give_up_at:
@@ -151,7 +151,7 @@
             "most": self._options.most,
         }
 
-    def _start_limit(self) -> float:
+    def _compute_deadline(self) -> float:
         return time.monotonic() + float(self._options.step_seconds)
 
     def _write_summary(self, superseded: bool) -> None:
--- a/standins/oleander_standins/trainer_checks.py
+++ b/standins/oleander_standins/trainer_checks.py
@@ -6,7 +6,7 @@
 
 from oleander_standins import tokens
 
-_MOST_PROBLEMS = 50
+_MAX_PROBLEMS = 50
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
 
     def reject(self, problem: str) -> None:
         """Note a broken promise."""
-        if len(self.problems) < _MOST_PROBLEMS:
+        if len(self.problems) < _MAX_PROBLEMS:
             self.problems.append(problem)
 
     def add(self, other: "Tally") -> None:
@@ -111,20 +111,20 @@
     def take_answer(self, answer: dict[str, typing.Any]) -> None:
         """Check and keep the samples of one whole answer."""
         try:
-            self._take_answer(answer)
+            self._check_answer(answer)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             self._reject(f"malformed answer: {type(error).__name__} {error}")
 
-    def _take_answer(self, answer: dict[str, typing.Any]) -> None:
+    def _check_answer(self, answer: dict[str, typing.Any]) -> None:
         for name, expected in (("step", self._step), ("version", self._version)):
             if answer.get(name) != expected:
                 self._reject(f"the answer has {name} {answer.get(name)!r}")
         for sample in answer["samples"]:
-            self._take_sample(sample)
+            self._check_sample(sample)
         if answer.get("complete") is not self.is_complete:
             self._reject(f"complete is {answer.get('complete')!r} with {len(self._held)} held")
 
-    def _take_sample(self, sample: dict[str, typing.Any]) -> None:
+    def _check_sample(self, sample: dict[str, typing.Any]) -> None:
         number = sample["number"]
         if not (type(number) is int and 0 <= number < len(self._groups)):
             self._reject(f"there is no sample {number!r}")
--- a/standins/oleander_standins/trainer_client.py
+++ b/standins/oleander_standins/trainer_client.py
@@ -12,8 +12,8 @@
 
 from oleander_standins import client
 
-_PAUSE_SECONDS = 0.05
-_LONGEST_PAUSE_SECONDS = 2.0
+_MIN_PAUSE_SECONDS = 0.05
+_MAX_PAUSE_SECONDS = 2.0
 _STATUS_OK = 200
 _STATUS_UNKNOWN_STEP = 404
 _STATUS_CONFLICT = 409
@@ -80,7 +80,7 @@
 
     def put_step(self, step: int, body: dict[str, typing.Any], give_up_at: float) -> str:
         """Register a step; return the URL of its collector."""
-        answer = self._put(self._name_step(step), body, give_up_at)
+        answer = self._put(self._format_step_path(step), body, give_up_at)
         if self._pulls_where_put:
             return self._entries[self.entry]
         return str(answer.get("collector"))
@@ -91,26 +91,26 @@
             with contextlib.suppress(OSError, http.client.HTTPException):
                 if client.call("PUT", url, body, {}, self._call_seconds).status == _STATUS_OK:
                     return
-            time.sleep(_PAUSE_SECONDS)
+            time.sleep(_MIN_PAUSE_SECONDS)
         raise LateError(url)
 
     def pull(self, collector: str, step: int, body: dict[str, typing.Any]) -> Pulled:
         """Ask the collector for samples."""
-        url = f"{collector}{self._name_step(step)}/pull"
+        url = f"{collector}{self._format_step_path(step)}/pull"
         try:
             response = self._call("POST", url, body, body["wait_ms"] / 1000 + self._call_seconds)
         except http.client.IncompleteRead:
             self.lost_answers += 1
             return Pulled()
         except (OSError, http.client.HTTPException):
-            self._turn_to_next()
+            self._switch_entry()
             return Pulled(put_again=True)
         if response.status == _STATUS_OK:
             return self._read_answer(response)
         if response.status == _STATUS_UNKNOWN_STEP:
             self.unknown_steps += 1
             return Pulled(put_again=True)
-        self._judge(response)
+        self._raise_or_wait(response)
         return Pulled()
 
     def _read_answer(self, response: client.Response) -> Pulled:
@@ -128,18 +128,18 @@
             try:
                 response = self._call("PUT", entry + path, body, self._call_seconds)
             except (OSError, http.client.HTTPException):
-                self._turn_to_next()
+                self._switch_entry()
                 continue
             if response.status == _STATUS_OK:
                 return _read_success(response)
-            self._judge(response)
+            self._raise_or_wait(response)
             self._turn += 1
         raise LateError(path)
 
-    def _turn_to_next(self) -> None:
+    def _switch_entry(self) -> None:
         self.lost_answers += 1
         self._turn += 1
-        time.sleep(_PAUSE_SECONDS)
+        time.sleep(_MIN_PAUSE_SECONDS)
 
     def _call(
         self, method: str, url: str, body: dict[str, typing.Any], timeout: float
@@ -150,7 +150,7 @@
         }
         return client.call(method, url, json.dumps(body).encode(), headers, timeout)
 
-    def _judge(self, response: client.Response) -> None:
+    def _raise_or_wait(self, response: client.Response) -> None:
         """Wait as long as the answer says, or raise where waiting can't help."""
         problem = _read_object(response)
         if response.status == _STATUS_CONFLICT and problem.get("reason") == "superseded":
@@ -158,10 +158,10 @@
         if response.status < 500 and response.status != 429:
             raise RefusedError(f"status {response.status}: {problem}")
         pause = problem.get("retry_after_ms")
-        seconds = pause / 1000 if isinstance(pause, int) else _PAUSE_SECONDS
-        time.sleep(min(max(seconds, _PAUSE_SECONDS), _LONGEST_PAUSE_SECONDS))
+        seconds = pause / 1000 if isinstance(pause, int) else _MIN_PAUSE_SECONDS
+        time.sleep(min(max(seconds, _MIN_PAUSE_SECONDS), _MAX_PAUSE_SECONDS))
 
-    def _name_step(self, step: int) -> str:
+    def _format_step_path(self, step: int) -> str:
         names = self._names
         return f"/v1/customers/{names.customer}/trainers/{names.trainer}/steps/{step}"
 
--- a/standins/oleander_standins/weights.py
+++ b/standins/oleander_standins/weights.py
@@ -10,8 +10,8 @@
 
 from oleander_standins import client
 
-_MOST_ORDERS_KEPT = 1000
-_FETCH_SECONDS = 10.0
+_MAX_KEPT_ORDERS = 1000
+_FETCH_TIMEOUT_SECONDS = 10.0
 _STATUS_OK = 200
 _STATUS_CONFLICT = 409
 _STATUS_FAILED = 500
@@ -54,7 +54,7 @@
         self._fencing = 0
         self._turn = threading.Lock()
         self._orders: collections.deque[dict[str, typing.Any]] = collections.deque(
-            maxlen=_MOST_ORDERS_KEPT
+            maxlen=_MAX_KEPT_ORDERS
         )
 
     @property
@@ -113,6 +113,6 @@
 def _fetch(base_url: str, order: Order) -> bool:
     url = f"{base_url}/weights/{order.model}/{order.version}"
     try:
-        return client.call("GET", url, None, {}, _FETCH_SECONDS).status == _STATUS_OK
+        return client.call("GET", url, None, {}, _FETCH_TIMEOUT_SECONDS).status == _STATUS_OK
     except (OSError, http.client.HTTPException):
         return False
--- a/standins/oleander_standins/weightstore.py
+++ b/standins/oleander_standins/weightstore.py
@@ -7,8 +7,8 @@
 
 from oleander_standins import server
 
-_MOST_VERSIONS = 200
-_Name = tuple[str, str]
+_MAX_VERSIONS = 200
+_WeightsKey = tuple[str, str]
 
 
 @dataclasses.dataclass(slots=True)
@@ -24,7 +24,7 @@
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self._weights: dict[_Name, bytes] = {}
+        self._weights: dict[_WeightsKey, bytes] = {}
         self._counts: collections.Counter[str] = collections.Counter()
         self._read_times: collections.deque[float] = collections.deque()
 
@@ -46,15 +46,15 @@
             "versions": versions
         }
 
-    def _store(self, name: _Name, body: bytes) -> None:
+    def _store(self, name: _WeightsKey, body: bytes) -> None:
         with self.changed:
             self._counts["writes"] += 1
             self._weights.pop(name, None)
             self._weights[name] = body
-            if len(self._weights) > _MOST_VERSIONS:
+            if len(self._weights) > _MAX_VERSIONS:
                 self._weights.pop(next(iter(self._weights)))
 
-    def _answer_read(self, exchange: server.Exchange, name: _Name) -> None:
+    def _answer_read(self, exchange: server.Exchange, name: _WeightsKey) -> None:
         if not self._admit_read():
             exchange.send_json(429, {"reason": "rate"}, retry_after_seconds=1)
             return
