--- a/standins/oleander_standins/__init__.py
+++ b/standins/oleander_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines, services and trainers, for tests and demos."""
+"""Stand-ins for the platform, engines, services and trainers, for tests and demos."""
--- a/standins/oleander_standins/batch.py
+++ b/standins/oleander_standins/batch.py
@@ -1,4 +1,8 @@
-"""Continuous batching: generations hold slots, the others wait by priority, then arrival."""
+"""
+The batch of the engine stand-in: a bounded number of slots and a queue of generations.
+
+Queued generations get a slot by priority, lowest number first, then in order of arrival.
+"""
 
 import collections
 import dataclasses
@@ -13,14 +17,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Load:
-    """How many generations run and wait."""
+    """How many generations hold a slot and how many are queued for one."""
 
     running: int
     waiting: int
 
 
 class Batch:
-    """Hands out slots; remembers its load over time for reports that lag."""
+    """Assigns slots to generations and keeps a history of its load for delayed load reports."""
 
     def __init__(self) -> None:
         self.peak_running = 0
@@ -34,16 +38,16 @@
 
     @property
     def running(self) -> int:
-        """How many generations hold a slot now."""
+        """How many generations hold a slot."""
         return self._running
 
     @property
     def waiting(self) -> int:
-        """How many generations wait now."""
+        """How many generations are queued for a slot."""
         return len(self._waiting)
 
     def enter(self, slots: int, priority: int, cancelled: threading.Event) -> bool:
-        """Wait for a slot; tell whether it was got before the generation was cancelled."""
+        """Wait until a slot is assigned; return False if the generation is cancelled first."""
         with self._changed:
             ticket = (priority, next(self._arrivals))
             heapq.heappush(self._waiting, ticket)
@@ -62,18 +66,18 @@
             return entered
 
     def leave(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         with self._changed:
             self._running -= 1
             self._record_load()
 
     def wake(self) -> None:
-        """Let waiting generations see that they were cancelled."""
+        """Wake the queued generations, so that cancelled ones leave the queue."""
         with self._changed:
             self._changed.notify_all()
 
     def read_load(self, lag_seconds: float) -> Load:
-        """Return the load as it was a while ago."""
+        """Return the load of `lag_seconds` ago, or the oldest known if the history is shorter."""
         newest = time.monotonic() - lag_seconds
         with self._changed:
             known = [load for changed_at, load in self._snapshots if changed_at <= newest]
--- a/standins/oleander_standins/client.py
+++ b/standins/oleander_standins/client.py
@@ -1,4 +1,4 @@
-"""One HTTP request at a time, each on a connection of its own."""
+"""A minimal HTTP client that opens a new connection for each request."""
 
 import dataclasses
 import http.client
@@ -9,21 +9,26 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Response:
-    """A whole answer; header names are in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def read_json(self) -> typing.Any:
-        """Return the body as JSON; raises ValueError where it is none."""
+        """Decode the body as JSON; raise ValueError if it is not valid JSON."""
         return json.loads(self.body)
 
 
 def call(
     method: str, url: str, body: bytes | None, headers: dict[str, str], timeout: float
 ) -> Response:
-    """Return the answer; raises OSError or http.client.HTTPException where there is none."""
+    """
+    Send a request and return the whole response.
+
+    Raises OSError or http.client.HTTPException if no complete response arrives. The timeout, in
+    seconds, applies to each socket operation.
+    """
     parts = urllib.parse.urlsplit(url)
     path = parts.path + (f"?{parts.query}" if parts.query else "")
     connection = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=timeout)
--- a/standins/oleander_standins/demo.py
+++ b/standins/oleander_standins/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path once as separate processes, say what happens, and stop."""
+"""Run a complete deployment as child processes, exercise it once and print the results."""
 
 import concurrent.futures
 import json
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Run the demo; the exit code says whether everything was as promised."""
+    """Run the demo; exit with 1 and print the logs of all processes if a check fails."""
     cluster = processes.Cluster()
     try:
         run_demo(deployment.Deployment(cluster))
@@ -45,7 +45,7 @@
 
 
 def run_demo(deployed: deployment.Deployment) -> None:
-    """Start, publish, call, train, report."""
+    """Start the deployment, publish contracts, call operations, train and print the reports."""
     start_all(deployed)
     publish_contracts(deployed)
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
@@ -61,7 +61,7 @@
 
 
 def start_all(deployed: deployment.Deployment) -> None:
-    """Start the platform, every host and three entries."""
+    """Start the platform stand-ins, every host and an entry in each failure domain."""
     for customer, _, _ in TRAINERS:
         deployed.add_customer(customer)
     print("starting the log, the host list and the weight store")
@@ -75,7 +75,7 @@
 
 
 def publish_contracts(deployed: deployment.Deployment) -> None:
-    """Publish both customers' contracts."""
+    """Publish the contracts of both customers."""
     for customer, _, _ in TRAINERS:
         published = deployed.publish(_EXAMPLES / f"{customer}.yaml")
         assert published.returncode == 0, published.stderr + published.stdout
@@ -83,7 +83,12 @@
 
 
 def call_operations(deployed: deployment.Deployment) -> None:
-    """Book and ship once each, by two entries, with look-ups and syncs behind them."""
+    """
+    Call the operations of both customers through several entries.
+
+    A booking and a shipment are sent twice with the same idempotency key, to different entries;
+    both answers must be equal.
+    """
     entries = deployed.entries
     for number in range(10):
         deployed.call(entries[number % 3], "catania", "record-lookup", {"record": number})
@@ -106,7 +111,12 @@
 
 
 def call_during_outage(deployed: deployment.Deployment) -> None:
-    """Book while the log is down: refused with a key of one's own, done with an issued one."""
+    """
+    Call an operation while the log is down.
+
+    A request with the caller's own key must be refused; one with a key that an entry issued must
+    succeed.
+    """
     issued = deployed.issue_key(deployed.entries[1], "catania", "booking")
     deployed.cluster.control("log", outage="refuse")
     own = deployed.call(deployed.entries[0], "catania", "booking", {"number": 2}, key="booking-2")
@@ -122,7 +132,7 @@
 def run_trainer(
     deployed: deployment.Deployment, customer: str, trainer: str, staleness_bound: int
 ) -> str:
-    """Train two steps with stragglers, announcing new weights before each."""
+    """Run a trainer for three steps with long samples, with new weights before each step."""
     flags = ["--customer", customer, "--trainer", trainer, "--model", trainer]
     for entry in deployed.entries:
         flags += ["--entry", deployed.cluster.url(entry)]
--- a/standins/oleander_standins/deployment.py
+++ b/standins/oleander_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment as child processes: platform, backend servers, sidecars and entries."""
+"""Start and address a small deployment as child processes, for tests, demo and benchmarks."""
 
 import collections.abc
 import concurrent.futures
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class BackendHost:
-    """One backend server and the sidecar beside it."""
+    """A host with one backend server and its sidecar."""
 
     name: str
     backend: str
     kind: str
-    """`engine` or `service`."""
+    """Kind of backend server: `engine` or `service`."""
     domain: str
     model: str = ""
     slots: int = 4
@@ -37,12 +37,12 @@
 
     @property
     def server_name(self) -> str:
-        """The process name of the backend server."""
+        """The name of the backend server's process in the cluster."""
         return f"{self.name}-{self.kind}"
 
 
 class Deployment:
-    """Starts processes in order and tells the host list about the sidecars."""
+    """Starts the processes of a deployment and adds the sidecars to the host list."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         program: tuple[str, ...] = (),
         environ: dict[str, str] | None = None,
     ) -> None:
-        """Run the program from the tree, or the given one in its own environment."""
+        """Run `program` in `environ`; by default `python -m oleanderdeal` in this environment."""
         self._cluster = cluster
         self._program = program or (sys.executable, "-m", "oleanderdeal")
         self._environ = environ
@@ -60,42 +60,42 @@
 
     @property
     def cluster(self) -> processes.Cluster:
-        """The processes by name."""
+        """The cluster that holds the child processes."""
         return self._cluster
 
     @property
     def entries(self) -> list[str]:
-        """The names of the entries."""
+        """The names of the entries; `start_entries` sorts them."""
         return list(self._entries)
 
     def add_customer(self, customer: str) -> None:
-        """Give a customer a token; call it before the entries start."""
+        """Create a customer's token; entries only know customers added before they start."""
         self._tokens[customer] = f"token-of-{customer}"
 
     def start_platform(self, *log_flags: str) -> None:
-        """Start the log, the host list and the weight store."""
+        """Start the stand-ins of the log, the host list and the weight store."""
         self._cluster.start_stand_in("log", "logservice", *log_flags)
         self._cluster.start_stand_in("hosts", "hostlist")
         self._cluster.start_stand_in("weights", "weightstore")
 
     def add_host(self, host: BackendHost) -> None:
-        """Make a host known, whose backend server and sidecar are started one by one."""
+        """Register a host whose backend server and sidecar are started by separate calls."""
         self._hosts[host.name] = host
 
     def start_host(self, host: BackendHost) -> None:
-        """Start a backend server and its sidecar, and list the host."""
+        """Start a host's backend server and sidecar and add the host to the host list."""
         self.add_host(host)
         self.start_backend_server(host.name)
         self.start_sidecar(host.name)
 
     def start_hosts(self, hosts: collections.abc.Sequence[BackendHost]) -> None:
-        """Start several hosts at once."""
+        """Start several hosts in parallel."""
         with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_STARTS) as pool:
             for future in [pool.submit(self.start_host, host) for host in hosts]:
                 future.result()
 
     def start_entries(self, count: int, *flags: str) -> None:
-        """Start entries at once, spread over the failure domains."""
+        """Start entries in parallel, spread evenly over the failure domains."""
         names = [
             f"entry-{DOMAINS[number % len(DOMAINS)]}{number // 3 or ''}" for number in range(count)
         ]
@@ -105,7 +105,7 @@
         self._entries.sort()
 
     def start_backend_server(self, name: str, port: int = 0) -> None:
-        """Start, or start anew, the backend server of a host."""
+        """Start or restart the backend server of a host; port 0 takes a free port."""
         host = self._hosts[name]
         flags = ["--port", str(port), *host.engine_flags]
         if host.kind == "engine":
@@ -118,7 +118,7 @@
     def start_sidecar(
         self, name: str, backend_url: str = "", log_url: str = "", is_listed: bool = True
     ) -> None:
-        """Start, or start anew, the sidecar of a host, and list its address."""
+        """Start or restart the sidecar of a host; add it to the host list if `is_listed`."""
         host = self._hosts[name]
         arguments = [
             "sidecar",
@@ -139,7 +139,7 @@
             self.list_host(name, self._cluster.address(name))
 
     def list_host(self, name: str, address: str) -> None:
-        """Put a sidecar's address into the host list."""
+        """Add a host to the host list with the address of its sidecar."""
         host = {
             "name": name,
             "address": address,
@@ -150,7 +150,7 @@
         self._cluster.control("hosts", add=host)
 
     def start_entry(self, name: str, domain: str, *flags: str, log_url: str = "") -> None:
-        """Start an entry."""
+        """Start or restart an entry in a failure domain."""
         tokens = ",".join(f"{customer}={token}" for customer, token in self._tokens.items())
         arguments = [
             "entry",
@@ -166,7 +166,7 @@
             self._entries.append(name)
 
     def await_ready(self, peers: int) -> None:
-        """Wait until every entry is ready and has links to so many sidecars."""
+        """Wait until every entry is connected to at least `peers` sidecars."""
         for name in self._entries:
             processes.wait_until(
                 functools.partial(self._has_peers, name, peers),
@@ -175,7 +175,7 @@
             )
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run an operator's command to its end."""
+        """Run an operator's command and return its output and exit code."""
         return subprocess.run(
             [*self._program, *arguments],
             capture_output=True,
@@ -186,7 +186,7 @@
         )
 
     def publish(self, path: pathlib.Path) -> subprocess.CompletedProcess[str]:
-        """Publish a contract and wait until it is in force at every entry."""
+        """Publish a contract by the operator's command, which waits until all entries apply it."""
         return self.run_command(
             "publish",
             *("--file", str(path), "--by", "demo", "--log_url", self._cluster.url("log")),
@@ -194,7 +194,7 @@
         )
 
     def entry_flags(self) -> tuple[str, ...]:
-        """Return the flags that tell an operator's command where the entries are."""
+        """Return the flags that give an operator's command the entries' URLs and its token."""
         urls = ",".join(self._cluster.url(name) for name in self._entries)
         return ("--entries", urls, "--operator_token", OPERATOR_TOKEN)
 
@@ -208,7 +208,12 @@
         timeout_ms: int = 0,
         timeout: float = 30.0,
     ) -> client.Response:
-        """Send a caller's request to an entry."""
+        """
+        Call an operation of a customer through an entry.
+
+        `timeout` is the limit of the HTTP client in seconds; `timeout_ms` is sent to the entry as
+        the limit of the request. An empty key or a limit of 0 is not sent.
+        """
         headers = self.write_headers(customer)
         if key:
             headers["Idempotency-Key"] = key
@@ -218,7 +223,7 @@
         return processes.call("POST", url, body, headers, timeout)
 
     def issue_key(self, entry: str, customer: str, operation: str) -> str:
-        """Ask an entry for an idempotency key that names the sidecar that may start it."""
+        """Get a key issued by an entry, which names the sidecar that may start the request."""
         path = f"/v1/customers/{customer}/operations/{operation}/keys"
         url = self._cluster.url(entry) + path
         response = processes.call("POST", url, None, self.write_headers(customer))
@@ -226,7 +231,7 @@
         return str(response.read_json()["key"])
 
     def write_headers(self, customer: str) -> dict[str, str]:
-        """Return the headers that show a customer's token."""
+        """Return the headers that authenticate a customer, or the operator."""
         return {"Authorization": f"Bearer {self._tokens[customer]}"}
 
     def _start_program(self, name: str, arguments: list[str]) -> None:
--- a/standins/oleander_standins/engine.py
+++ b/standins/oleander_standins/engine.py
@@ -1,4 +1,9 @@
-"""A model engine that batches, caches prefixes and swaps weights, without a model."""
+"""
+A stand-in for a model engine.
+
+It simulates continuous batching, a prefix cache and weight changes, and generates tokens that
+follow from the prompt instead of running a model.
+"""
 
 import collections
 import dataclasses
@@ -11,55 +16,62 @@
 _MAX_KEPT_GENERATIONS = 20_000
 _MAX_WAITING = 10_000
 _SLOWDOWN_PER_GENERATION = 0.02
-"""How much slower each token gets for each other generation in the batch."""
+"""Fraction of `token_ms` that each other running generation adds to the time of a token."""
 
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The engine's size, pace and faults."""
+    """The engine's capacity, speed and faults; values ending in `_ms` are in milliseconds."""
 
     slots: int = 8
     token_ms: float = 5.0
     prefill_ms: float = 20.0
-    """Skipped where the request's prefix is in the cache."""
+    """Time before the first token; skipped if the request's prefix is cached."""
     piece_tokens: int = 4
-    """How many tokens a line of the stream has."""
+    """Number of tokens in each line of the stream; the last line may have fewer."""
     cache_entries: int = 16
     load_lag_ms: int = 300
+    """How old the load is that `GET /v1/load` reports."""
     initial_version: int = 1
-    """The version at the start; below 0 for none."""
+    """The version of the weights loaded at the start; a negative number for none."""
     load_ms: int = 50
+    """How long a load of weights takes, without fetching them."""
     states_version: bool = True
+    """Each line of a stream names the version of the weights that generated it."""
     marks_version: bool = False
-    """Each token's text names the weights that made it, so that a receiver can check labels."""
+    """The text of each token names the version that generated it, to check labels against."""
     checks_fencing: bool = False
+    """Orders with a lower fencing number than the last one accepted are answered 409."""
     weights_url: str = ""
+    """URL of the weight store to fetch weights from before a load; empty to fetch nothing."""
     fail_load: int = 0
-    """So many next loads fail midway and leave no whole version."""
+    """How many of the next loads fail midway, which leaves no usable version loaded."""
     lose_load_answer: int = 0
-    """So many next loads take effect and their answers are dropped."""
+    """How many of the next loads take effect but get no answer: the connection is closed."""
     late_load: int = 0
-    """So many next loads are dropped at once and carried out after `late_load_ms`."""
+    """How many of the next loads get no answer and are carried out after `late_load_ms`."""
     late_load_ms: int = 1000
     hold_load: bool = False
-    """Loads stop halfway until this is cleared."""
+    """Loads pause halfway until this is cleared."""
     cut: int = 0
-    """So many next generations break off after their first line."""
+    """How many of the next generations end after their first line, before they are complete."""
     pause_after: int = 0
-    """Generations pause after so many tokens until this is changed; 0 for not at all."""
+    """Generations pause once they have this many tokens, until this is changed; 0 disables it."""
     pause_start: bool = False
-    """Generations that got a slot make no token until this is changed."""
+    """Generations with a slot generate no tokens until this is cleared."""
     slow_factor: float = 1.0
+    """Multiplies the time of prefills and tokens."""
     refuse: bool = False
-    """New generations are answered 503."""
+    """New generations are refused with 503."""
 
 
 class Engine(server.StandIn[Settings]):
     """
-    Keeps the true labels of the newest twenty thousand generations for checks.
+    Serves generations and loads of weights.
 
-    A request that comes again with the same id, as one that is resumed may, stands there as
-    `ID#2` and so on.
+    Keeps the actual labels of the newest twenty thousand generations, which tests read through
+    the control endpoint. If a request id is reused, as a resumed request may do, the later
+    generations are listed as `ID#2`, `ID#3` and so on.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -75,7 +87,7 @@
         self._counts: collections.Counter[str] = collections.Counter()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Generate, cancel, load or report."""
+        """Handle a request to generate, cancel, load weights, or read the load or version."""
         match exchange.route:
             case ("POST", "v1", "generate"):
                 self._answer_generate(exchange)
@@ -92,7 +104,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the counts, and the generations unless the query says `generations=no`."""
+        """Return the counters, and the generations unless the query has `generations=no`."""
         counts: dict[str, typing.Any] = {
             name: self._counts[name]
             for name in ("runs", "runs_without_version", "tokens", "cancels", "refused")
@@ -262,7 +274,7 @@
 
 
 def main() -> None:
-    """Serve generations."""
+    """Run the engine stand-in."""
     server.run_program(Settings(), Engine)
 
 
--- a/standins/oleander_standins/hostlist.py
+++ b/standins/oleander_standins/hostlist.py
@@ -1,4 +1,4 @@
-"""A list of hosts that shows changes after a lag."""
+"""A stand-in for the platform's host list, which shows changes after a delay."""
 
 import collections
 import dataclasses
@@ -15,17 +15,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """How late the list is."""
+    """Settings of the host list."""
 
     lag_ms: int = 0
+    """Delay in milliseconds until a change shows in the list."""
 
 
 class HostList(server.StandIn[Settings]):
     """
-    Shows the list as it was a while ago.
+    Serves the list of hosts as it was `lag_ms` ago.
 
-    Controls: `set` a list of hosts, `add` a host, `remove` a name, `leaving` a name. Of more than
-    a thousand changes within the lag, the oldest are forgotten.
+    Control commands: `set` replaces the list, `add` adds or replaces a host, `remove` removes the
+    host of a name, `leaving` marks it as leaving. The newest thousand changes are kept, so with
+    more of them within `lag_ms` the oldest are lost.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -36,7 +38,7 @@
         self._reads = 0
 
     def answer(self, exchange: server.Exchange) -> None:
-        """List the hosts."""
+        """Answer a request for the list of hosts."""
         if exchange.route != ("GET", "hosts"):
             exchange.send_json(404, {"reason": "no such path"})
             return
@@ -46,11 +48,11 @@
         exchange.send_json(200, {"hosts": hosts})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the list as it is now and as it is shown."""
+        """Return the number of reads, the current list and the list that is shown."""
         return {"reads": self._reads, "hosts": self._changes[-1][1], "shown": self._read_shown()}
 
     def command(self, name: str, value: typing.Any) -> bool:
-        """Change the list."""
+        """Run a control command on the list; return False if the command is unknown."""
         current = self._changes[-1][1]
         match name:
             case "set":
@@ -76,7 +78,7 @@
 
 
 def main() -> None:
-    """Serve a host list."""
+    """Run the host list stand-in."""
     server.run_program(Settings(), HostList)
 
 
--- a/standins/oleander_standins/logservice.py
+++ b/standins/oleander_standins/logservice.py
@@ -1,4 +1,4 @@
-"""A log service in memory: streams of records with offsets, faults on request."""
+"""A stand-in for the platform's log: streams of records in memory, with injected faults."""
 
 import collections
 import dataclasses
@@ -17,23 +17,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The service's limits and faults."""
+    """The limits of the service and the faults to inject."""
 
     retention: int = 100_000
-    """How many records of a stream are kept."""
+    """Number of newest records kept in each stream."""
     appends_per_second: int = 0
-    """More are answered 429; 0 sets no limit."""
+    """Appends above this rate are answered 429; 0 sets no limit."""
     lose_before: int = 0
-    """So many next appends are dropped with no effect."""
+    """How many of the next appends have no effect and get no answer."""
     lose_after: int = 0
-    """So many next appends take effect and their answers are dropped."""
+    """How many of the next appends take effect but get no answer."""
     late: int = 0
-    """So many next appends are dropped at once and take effect after `late_ms`."""
+    """How many of the next appends get no answer and take effect after `late_ms`."""
     late_ms: int = 1000
 
 
 class _Stream:
-    """The newest records of one stream, each encoded once; the oldest go at the bound."""
+    """The newest records of a stream, each stored as JSON text; the oldest are evicted."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -42,11 +42,11 @@
 
     @property
     def first_offset(self) -> int:
-        """The oldest record kept."""
+        """The offset of the oldest record kept."""
         return self.next_offset - len(self._records)
 
     def append(self, values: list[typing.Any], retention: int) -> int:
-        """Add records together; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
         now_ms = int(time.time() * 1000)
         with self.changed:
             first = self.next_offset
@@ -60,7 +60,7 @@
         return first
 
     def read(self, offset: int, limit: int, wait_ms: int) -> bytes:
-        """Return the body of a page, waiting for the first record."""
+        """Return a page of records as JSON, after waiting up to `wait_ms` for the first record."""
         with self.changed:
             self.changed.wait_for(lambda: self.next_offset > offset, wait_ms / 1000)
             first_offset = self.first_offset
@@ -75,7 +75,7 @@
 
 
 class LogService(server.StandIn[Settings]):
-    """Holds a bounded number of streams; a request for one more is answered 400."""
+    """Serves streams, created on first use; above a thousand, a new one is answered 400."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
@@ -85,7 +85,7 @@
         self._bucket_refilled_at = time.monotonic()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Append or read."""
+        """Route a request to append to or read from a stream."""
         match exchange.route:
             case ("POST", "streams", name, "records"):
                 self._answer_append(exchange, name)
@@ -95,7 +95,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the counts and what each stream holds."""
+        """Return the counters and the next and first offset of each stream."""
         streams = self._streams.items()
         return {
             "appends": self._counts["appends"],
@@ -175,7 +175,7 @@
 
 
 def main() -> None:
-    """Serve a log."""
+    """Run the log stand-in."""
     server.run_program(Settings(), LogService)
 
 
--- a/standins/oleander_standins/processes.py
+++ b/standins/oleander_standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of the project, HTTP calls and waiting, for tests, the demo and the bench."""
+"""Start child processes, call them and wait for conditions, for tests, demo and benchmarks."""
 
 import collections.abc
 import json
@@ -29,7 +29,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = _CALL_TIMEOUT_SECONDS,
 ) -> client.Response:
-    """Return the answer, with status, headers and body; a body that is no bytes goes as JSON."""
+    """Send a request and return the response; a body other than bytes is sent as JSON."""
     if body is not None and not isinstance(body, bytes):
         body = json.dumps(body).encode()
     return client.call(method, url, body, headers or {}, timeout)
@@ -38,7 +38,7 @@
 def wait_until(
     condition: collections.abc.Callable[[], typing.Any], what: str, seconds: float = 10
 ) -> typing.Any:
-    """Poll until a condition holds and return its value; fail with what was waited for."""
+    """Poll a condition until it is true and return its value; raise AssertionError on timeout."""
     deadline = time.monotonic() + seconds
     while True:
         value = condition()
@@ -49,7 +49,12 @@
 
 
 class Process:
-    """One child; a thread reads its output, so that it never blocks, up to a bound of lines."""
+    """
+    A child process.
+
+    A thread reads its standard output, so that the child never blocks on a full pipe; lines above
+    the bound of the queue are discarded.
+    """
 
     def __init__(
         self,
@@ -58,7 +63,7 @@
         log_path: pathlib.Path,
         environ: dict[str, str] | None = None,
     ) -> None:
-        """Start a command, in its own environment or in this process's."""
+        """Start a command; without `environ` it inherits this process's environment."""
         self.name = name
         self.address = ""
         self.lines: queue.Queue[str] = queue.Queue(_MAX_LINES)
@@ -82,20 +87,20 @@
 
     @property
     def code(self) -> int | None:
-        """The exit code, or None while it runs."""
+        """The exit code, or None while the process runs."""
         return self._child.poll()
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """The URL that the process listens on."""
         return f"http://{self.address}"
 
     def read_log(self) -> str:
-        """Return the end of what it wrote to standard error."""
+        """Return the last characters of its standard error."""
         return self._log_path.read_text(errors="replace")[-_MAX_LOG_CHARACTERS:]
 
     def wait_ready(self, seconds: float = _START_TIMEOUT_SECONDS) -> None:
-        """Wait for the line that tells where it listens."""
+        """Wait until the process prints its address; raise AssertionError if it does not."""
         deadline = time.monotonic() + seconds
         while not self._ready.wait(0.02):
             ended = self.code is not None and not self._reader.is_alive()
@@ -104,20 +109,20 @@
             )
 
     def wait_exit(self, seconds: float = _STOP_TIMEOUT_SECONDS) -> int:
-        """Wait for the end; return the exit code."""
+        """Wait until the process ends; return the exit code."""
         return self._child.wait(seconds)
 
     def wait_lines(self) -> list[str]:
-        """Return the lines not taken yet of a process that has ended."""
+        """Wait for the end of the output of an ended process; return the lines not read yet."""
         self._reader.join(_STOP_TIMEOUT_SECONDS)
         return [self.lines.get_nowait() for _ in range(self.lines.qsize())]
 
     def send(self, signal_number: int) -> None:
-        """Send a signal; one that has ended already is left alone."""
+        """Send a signal; do nothing if the process has ended."""
         self._child.send_signal(signal_number)
 
     def close(self) -> None:
-        """End it, frozen or not, and take back what it used."""
+        """Kill the process, also if it is stopped by a signal, and release its resources."""
         self.send(signal.SIGKILL)
         self._child.wait(_STOP_TIMEOUT_SECONDS)
         self._reader.join(_STOP_TIMEOUT_SECONDS)
@@ -135,7 +140,7 @@
 
 
 class Cluster:
-    """The child processes and relays of a run by name; `stop` ends every one of them."""
+    """The child processes and relays of a test run by name; `stop` ends them all."""
 
     def __init__(self) -> None:
         self._processes: dict[str, Process] = {}
@@ -143,7 +148,7 @@
         self._logs = tempfile.TemporaryDirectory(prefix="oleander-")
 
     def start(self, name: str, module: str, *arguments: object, ready: bool = True) -> Process:
-        """Start a module and, unless told otherwise, wait until it listens."""
+        """Start a Python module as a process; wait until it listens if `ready`."""
         command = [sys.executable, "-m", module, *map(str, arguments)]
         return self.start_command(name, command, None, ready)
 
@@ -154,7 +159,7 @@
         environ: dict[str, str] | None,
         ready: bool = True,
     ) -> Process:
-        """Start a command, with this process's environment if none is given."""
+        """Start a command as a process, after killing a process of the same name."""
         self.close(name)
         log_path = pathlib.Path(self._logs.name) / f"{name}.log"
         process = Process(name, command, log_path, environ)
@@ -168,21 +173,21 @@
         return self.start(name, f"oleander_standins.{kind}", "--port", 0, *arguments)
 
     def start_relay(self, name: str, target: str) -> relay.Relay:
-        """Start a relay to a process of that name, or to IP:port."""
+        """Start a relay whose target is the name of a process or IP:port."""
         known = self._processes.get(target)
         self._relays[name] = relay.Relay(known.address if known else target)
         return self._relays[name]
 
     def find_relay(self, name: str) -> relay.Relay:
-        """Return a relay."""
+        """Return the relay of a name; raise KeyError if there is none."""
         return self._relays[name]
 
     def has(self, name: str) -> bool:
-        """Tell whether there is a process or relay of that name."""
+        """Return whether a process or relay of that name exists."""
         return name in self._processes or name in self._relays
 
     def find(self, name: str) -> Process:
-        """Return a process."""
+        """Return the process of a name; raise KeyError if there is none."""
         return self._processes[name]
 
     def url(self, name: str) -> str:
@@ -190,35 +195,35 @@
         return self._find_listener(name).url
 
     def address(self, name: str) -> str:
-        """Return IP:port of a process or relay."""
+        """Return the address of a process or relay as IP:port."""
         return self._find_listener(name).address
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash would, and wait for its end."""
+        """Kill a process with SIGKILL, to simulate a crash, and wait until it has ended."""
         self._processes[name].send(signal.SIGKILL)
         self._processes[name].wait_exit()
 
     def freeze(self, name: str) -> None:
-        """Pause a process."""
+        """Pause a process with SIGSTOP."""
         self._processes[name].send(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self._processes[name].send(signal.SIGCONT)
 
     def terminate(self, name: str, seconds: float = _STOP_TIMEOUT_SECONDS) -> int:
-        """Ask a process to stop; return its exit code."""
+        """Stop a process with SIGTERM; return its exit code."""
         self._processes[name].send(signal.SIGTERM)
         return self._processes[name].wait_exit(seconds)
 
     def close(self, name: str) -> None:
-        """End a process if there is one of that name, and forget it."""
+        """Kill and remove the process of a name, if there is one."""
         process = self._processes.pop(name, None)
         if process is not None:
             process.close()
 
     def stop(self) -> None:
-        """End every process and relay, and remove what was logged."""
+        """End every process and relay, and delete the log files."""
         for name in list(self._processes):
             self.close(name)
         for item in self._relays.values():
@@ -226,14 +231,14 @@
         self._logs.cleanup()
 
     def read_logs(self) -> str:
-        """Return the ends of all logs, to tell why a scenario failed."""
+        """Return the end of each process's log, for the report of a failed scenario."""
         return "".join(
             f"--- {name}, exit code {process.code}\n{process.read_log()}"
             for name, process in self._processes.items()
         )
 
     def read_whole_logs(self) -> str:
-        """Return all that was logged, by processes that were replaced as well."""
+        """Return the complete logs, including those of processes that were restarted."""
         paths = sorted(pathlib.Path(self._logs.name).glob("*.log"))
         return "".join(path.read_text(errors="replace") for path in paths)
 
@@ -241,10 +246,10 @@
         return self._relays.get(name) or self._processes[name]
 
     def control(self, name: str, **settings: typing.Any) -> None:
-        """Change settings of a stand-in."""
+        """Change settings or run commands through the control endpoint of a stand-in."""
         response = call("POST", f"{self.url(name)}/control", settings)
         assert response.status == 200, response.body
 
     def read_control(self, name: str, query: str = "") -> typing.Any:
-        """Return what a stand-in counted; the query may be generations=no for an engine."""
+        """Return a stand-in's counters; `generations=no` omits the generations of an engine."""
         return call("GET", f"{self.url(name)}/control?{query}").read_json()
--- a/standins/oleander_standins/recordlog.py
+++ b/standins/oleander_standins/recordlog.py
@@ -1,4 +1,4 @@
-"""A log of partitions in memory, with the faults of a platform's store."""
+"""A partitioned record log in memory, with injected faults of the platform's log."""
 
 import collections
 import dataclasses
@@ -15,21 +15,21 @@
 
 @dataclasses.dataclass(slots=True)
 class LogFaults:
-    """What goes wrong with the next calls; each count goes down as it is used."""
+    """Faults to inject into the next calls; each count decreases with every call it affects."""
 
     is_down: bool = False
-    """Calls are refused and do nothing."""
+    """Calls fail at once and have no effect."""
     is_silent: bool = False
-    """Reads and appends do nothing and have no answer until their time is up."""
+    """Reads and appends have no effect and fail when their deadline expires."""
     lost_answers: int = 0
-    """So many appends take effect without an answer."""
+    """How many of the next appends take effect but report that no answer came."""
     lost_calls: int = 0
-    """So many appends do nothing and have no answer."""
+    """How many of the next appends have no effect and report that no answer came."""
     hollow_pages: int = 0
-    """So many reads name the end of the partition without the records before it, as a read that
-    waited in vain does when a record comes just as it is answered."""
+    """How many of the next reads return no records although the end offset lies beyond the read
+    offset. The platform's log answers so if a record arrives just as a long poll times out."""
     late_appends: int = 0
-    """So many appends have no answer and take effect when `apply_late` is called."""
+    """How many of the next appends report no answer and take effect in `apply_late`."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _LateAppend:
-    """An append on its way, with the end that it is made for, if it names one."""
+    """An append in flight; with an end offset, it applies only if the partition ends there."""
 
     topic: str
     partition: int
@@ -49,7 +49,7 @@
 
 
 class MemoryRecordLog(recordlog.RecordLog):
-    """One log that several clients share; `create_client` gives each its own faults."""
+    """A log shared by several clients, each created by `create_client` with its own faults."""
 
     def __init__(self, shared: "MemoryRecordLog | None" = None) -> None:
         self.faults = LogFaults()
@@ -61,16 +61,17 @@
         self.appends = 0
         self.dealt: dict[str, frozenset[int]] = shared.dealt if shared else {}
         self.left: set[str] = shared.left if shared else set()
-        """Partitions by member; where nothing is said here, every member is given all."""
+        """The members that left. `dealt` holds the partitions assigned to each member; while it is
+        empty, every member is assigned all partitions."""
 
     def create_client(self) -> "MemoryRecordLog":
-        """Return another client of the same log."""
+        """Return another client of the same log, without faults."""
         return MemoryRecordLog(self)
 
     def append(
         self, topic: str, partition: int, records: list[bytes], deadline: clock.Deadline
     ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError]:
-        """Append all records or none."""
+        """Append records atomically to a partition."""
         if self.faults.is_silent:
             return expression.Error(_wait_for_timeout(deadline))
         appended = self._append(_LateAppend(topic, partition, records, None))
@@ -87,13 +88,13 @@
         end_offset: int,
         deadline: clock.Deadline,
     ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
-        """Append where the partition ends at an offset."""
+        """Append only if the partition ends at `end_offset`; return EndMismatch otherwise."""
         return self._append(_LateAppend(topic, partition, records, end_offset))
 
     def read(
         self, topic: str, partition: int, offset: int, wait_ms: int, deadline: clock.Deadline
     ) -> expression.Result[recordlog.RawPage, recordlog.LogError]:
-        """Return records from an offset on; never waits for one."""
+        """Return records from an offset on; ignores `wait_ms` and never waits for new records."""
         if self.faults.is_silent:
             return expression.Error(_wait_for_timeout(deadline))
         if self.faults.is_down:
@@ -114,7 +115,7 @@
     def read_newest(
         self, topic: str, deadline: clock.Deadline
     ) -> expression.Result[tuple[tuple[recordlog.KeyedRecord, ...], int], recordlog.LogError]:
-        """Return the newest record of each key."""
+        """Return the newest record of each key, without deleted keys, and the end offset."""
         page = self.read(topic, 0, 0, 0, deadline)
         if page.is_error():
             return expression.Error(page.error)
@@ -129,7 +130,7 @@
     def join(
         self, request: recordlog.MemberRequest, deadline: clock.Deadline
     ) -> expression.Result[recordlog.Membership, recordlog.LogError]:
-        """Give a member what it was dealt."""
+        """Return the partitions assigned to a member: those in `dealt`, or all if it is empty."""
         if self.faults.is_down:
             return expression.Error(recordlog.LogError("down", False, 0))
         if not self.dealt:
@@ -139,14 +140,14 @@
     def leave(
         self, request: recordlog.MemberRequest, deadline: clock.Deadline
     ) -> expression.Result[None, recordlog.LogError]:
-        """Remember that a member left."""
+        """Record that a member left."""
         if self.faults.is_down:
             return expression.Error(recordlog.LogError("down", False, 0))
         self.left.add(request.member)
         return expression.Ok(None)
 
     def apply_late(self) -> None:
-        """Let the appends on their way take effect, where their condition still holds."""
+        """Apply the appends in flight; skip those whose end offset no longer matches."""
         late, self._late = self._late, []
         for append in late:
             with self._lock:
@@ -185,6 +186,6 @@
 
 
 def _wait_for_timeout(deadline: clock.Deadline) -> recordlog.LogError:
-    """Wait in vain for an answer."""
+    """Wait until the deadline and return the error of a call without an answer."""
     time.sleep(max(0.0, deadline.remaining))
     return recordlog.LogError("no answer", True, 0)
--- a/standins/oleander_standins/relay.py
+++ b/standins/oleander_standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that stands between two processes and cuts or holds what they send."""
+"""A TCP relay between two processes that can close connections and hold or alter data."""
 
 import collections.abc
 import contextlib
@@ -20,13 +20,14 @@
 
 class Relay:
     """
-    Passes connections on to a target; above a thousand at a time, new ones are closed.
+    Forwards connections to a target.
 
-    A target that refuses shows as a connection that closes at once.
+    New connections are closed at once while a thousand are open, and if the target refuses the
+    connection.
     """
 
     def __init__(self, target: str) -> None:
-        """Listen on a free port for a target given as IP:port, which may be changed later."""
+        """Listen on a free port; `target` is IP:port and may be changed for later connections."""
         self.target = target
         self._changed = threading.Condition()
         self._passed = dict.fromkeys(_DIRECTIONS, 0)
@@ -43,13 +44,13 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as IP:port."""
+        """The address that the relay listens on, as IP:port."""
         host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     @property
     def url(self) -> str:
-        """Where it listens, as a URL."""
+        """The URL that the relay listens on."""
         return f"http://{self.address}"
 
     @property
@@ -60,53 +61,53 @@
 
     @property
     def bytes_passed(self) -> int:
-        """How many bytes were passed on, both ways together."""
+        """How many bytes were forwarded, in both directions together."""
         with self._changed:
             return sum(self._passed.values())
 
     @property
     def spoils_left(self) -> int:
-        """How many answers are still to be spoiled."""
+        """How many of the faults requested with `spoil` have not been used."""
         with self._changed:
             return len(self._spoils)
 
     def cut(self) -> None:
-        """Close every connection, and each new one at once, until healed."""
+        """Close every connection, and each new one at once, until `heal` is called."""
         with self._changed:
             self._is_cut = True
             self._close_pairs()
 
     def drop_connections(self) -> None:
-        """Close every connection; new ones pass."""
+        """Close every open connection; new ones are forwarded."""
         with self._changed:
             self._close_pairs()
 
     def block(self, direction: str) -> None:
-        """Hold what is sent one way until healed; the connections stay open."""
+        """Hold data in one direction until `release` or `heal`; connections stay open."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._blocked.add(direction)
 
     def block_open_connections(self) -> None:
-        """Hold what the connections open now send, both ways; later ones pass."""
+        """Hold data of the open connections in both directions; later ones are forwarded."""
         with self._changed:
             for pair in self._pairs:
                 pair.blocked.update(_DIRECTIONS)
 
     def hold_requests(self, text: str, direction: str) -> None:
-        """Hold one way, until healed, each connection that sends a text from now on."""
+        """Hold one direction of each connection whose client sends a text, until released."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._held_text = text.encode()
             self._held_direction = direction
 
     def pass_requests(self) -> None:
-        """Let new connections pass whatever they send; what is held stays held."""
+        """Stop matching the text of `hold_requests`; connections held already stay held."""
         with self._changed:
             self._held_text = b""
 
     def release(self, direction: str) -> None:
-        """Pass again what is sent one way, what was held first."""
+        """Forward data in one direction again, starting with the data that was held."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._blocked.discard(direction)
@@ -115,23 +116,28 @@
             self._changed.notify_all()
 
     def spoil(self, how: str) -> None:
-        """Cut the next answer with samples in the middle, or change a digit of its first text."""
+        """
+        Alter the next answer with samples that no earlier call alters.
+
+        `CUT` closes the connection within the answer; `DAMAGED` changes the first digit of the
+        text of its first sample.
+        """
         assert how in {CUT, DAMAGED}, how
         with self._changed:
             self._spoils.append(how)
 
     def count_held(self, direction: str) -> int:
-        """Return how many connections have bytes that are held on their way."""
+        """Return how many connections have data held in a direction."""
         with self._changed:
             return sum(direction in pair.held for pair in self._pairs)
 
     def holds(self, direction: str, text: str) -> bool:
-        """Tell whether a text is among what is held on its way."""
+        """Return whether data held in a direction contains a text."""
         with self._changed:
             return any(text.encode() in pair.held.get(direction, b"") for pair in self._pairs)
 
     def heal(self) -> None:
-        """Pass everything again, what was held first."""
+        """Forward everything again, starting with the data that was held."""
         with self._changed:
             self._is_cut = False
             self._held_text = b""
@@ -139,7 +145,7 @@
             self.release(direction)
 
     def close(self) -> None:
-        """Close every connection and end every thread."""
+        """Close the listener and every connection, and wait for the threads to end."""
         with self._changed:
             self._is_closed = True
             self._close_pairs()
@@ -249,7 +255,7 @@
 
 
 class _Pair:
-    """The two sockets of one connection."""
+    """The client's and the target's socket of a relayed connection."""
 
     __slots__ = ("blocked", "client", "held", "is_closed", "pumps_left", "server")
 
@@ -261,12 +267,12 @@
         self.server = server
         self.blocked: set[str] = set()
         self.held: dict[str, bytes] = {}
-        """What was read one way and is not passed on yet."""
+        """Data read in each direction that is not forwarded yet."""
         self.is_closed = False
         self.pumps_left = 2
 
     def shut(self) -> None:
-        """Make blocked reads of both sockets end."""
+        """Shut down both sockets, which ends blocked reads."""
         self.is_closed = True
         _shut_down_socket(self.client)
         _shut_down_socket(self.server)
--- a/standins/oleander_standins/server.py
+++ b/standins/oleander_standins/server.py
@@ -1,4 +1,9 @@
-"""The HTTP server of the stand-ins and its control endpoint: faults in, counts out."""
+"""
+The HTTP server that all stand-ins share.
+
+Its control endpoint, `/control`, changes settings and injects faults with POST and returns
+counters and settings with GET.
+"""
 
 import abc
 import argparse
@@ -27,16 +32,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings:
-    """What the control endpoint and the flags of every stand-in can change."""
+    """Settings of every stand-in, set by flags and changed through the control endpoint."""
 
     outage: str = ""
-    """Empty for none; `refuse` answers 503 at once, `hang` never answers. Nothing is done."""
+    """Simulated outage: empty for none, `refuse` answers 503 at once, `hang` gives no answer and
+    closes the connections once it is cleared. Requests have no effect during an outage."""
     slow_ms: int = 0
-    """Each request is acted on that much later."""
+    """Delay in milliseconds before each request is processed."""
 
 
 class Exchange:
-    """One request, and the ways to answer it."""
+    """A request, with methods to answer it."""
 
     def __init__(self, handler: "_Handler", body: bytes) -> None:
         parts = urllib.parse.urlsplit(handler.path)
@@ -49,11 +55,11 @@
 
     @property
     def route(self) -> tuple[str, ...]:
-        """The method and the first segments, for matching."""
+        """The method and the decoded segments of the path, for `match` statements."""
         return (self.method, *self.segments)
 
     def read_object(self) -> dict[str, typing.Any]:
-        """Return the JSON object of the body; anything else reads as an empty one."""
+        """Return the JSON object in the body, or an empty one if the body is anything else."""
         try:
             content = json.loads(self.body)
         except (ValueError, RecursionError):
@@ -63,7 +69,7 @@
     def send_json(
         self, status: int, content: typing.Any, retry_after_seconds: int | None = None
     ) -> None:
-        """Answer with JSON."""
+        """Send an answer with a JSON body."""
         headers = {"Content-Type": "application/json"}
         if retry_after_seconds is not None:
             headers["Retry-After"] = str(retry_after_seconds)
@@ -72,7 +78,7 @@
     def send_bytes(
         self, status: int, body: bytes, headers: collections.abc.Mapping[str, str]
     ) -> None:
-        """Answer with bytes; head and body leave in one segment."""
+        """Send an answer with a body; head and body are written at once."""
         self._handler.send_response(status)
         for name, value in headers.items():
             self._handler.send_header(name, value)
@@ -80,20 +86,20 @@
         self._handler.finish_head(body)
 
     def start_stream(self) -> None:
-        """Begin an answer of JSON lines whose number is not known yet."""
+        """Start a chunked answer of JSON lines."""
         self._handler.send_response(200)
         self._handler.send_header("Content-Type", "application/x-ndjson")
         self._handler.send_header("Transfer-Encoding", "chunked")
         self._handler.finish_head(b"")
 
     def send_line(self, content: typing.Any) -> None:
-        """Send one JSON line; raises OSError where the caller has gone."""
+        """Send one JSON line; raise OSError if the caller has disconnected."""
         line = json.dumps(content).encode() + b"\n"
         self._handler.wfile.write(b"%x\r\n%b\r\n" % (len(line), line))
         self._handler.wfile.flush()
 
     def end_stream(self) -> None:
-        """End the lines."""
+        """End a chunked answer."""
         self._handler.wfile.write(b"0\r\n\r\n")
         self._handler.wfile.flush()
 
@@ -108,7 +114,12 @@
 
 
 class StandIn(abc.ABC, typing.Generic[_SettingsType]):
-    """What one kind of stand-in does; called from one thread for each connection."""
+    """
+    Base class of the stand-ins.
+
+    Each connection has a thread of its own, so methods may run concurrently; `changed` guards
+    the state.
+    """
 
     def __init__(self, settings: _SettingsType) -> None:
         self.settings = settings
@@ -120,14 +131,19 @@
 
     @abc.abstractmethod
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return what was counted; called with the lock held."""
+        """Return the counters for the control endpoint; called with the lock held."""
 
     def command(self, name: str, value: typing.Any) -> bool:
-        """Obey a control that is no setting; called with the lock held; tell if it is known."""
+        """Run a control command, with the lock held; return False if the command is unknown."""
         return False
 
     def control(self, content: dict[str, typing.Any]) -> list[str]:
-        """Change settings; return what is wrong, and change nothing then."""
+        """
+        Change settings and run commands; return the problems found.
+
+        Nothing is changed if a setting has a wrong type or value. Unknown or malformed commands
+        are reported after the settings have been changed.
+        """
         fields = {field.name: field for field in dataclasses.fields(self.settings)}
         settings = {name: value for name, value in content.items() if name in fields}
         problems = [
@@ -154,7 +170,7 @@
             return False
 
     def take(self, name: str) -> bool:
-        """Tell whether a fault is set for this request; such a setting counts down to 0."""
+        """Return whether a fault applies to this request, and decrement its count if so."""
         with self.changed:
             left = getattr(self.settings, name)
             if left <= 0:
@@ -163,12 +179,12 @@
             return True
 
     def wait_while(self, holds: collections.abc.Callable[[], bool]) -> None:
-        """Block while a setting holds, ten minutes at most."""
+        """Block while a condition is true, for ten minutes at most."""
         with self.changed:
             self.changed.wait_for(lambda: not holds(), _MAX_HANG_SECONDS)
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer a request, or act out the fault that is set."""
+        """Process a request, or simulate the outage that is set."""
         if self.settings.outage == REFUSE:
             exchange.send_json(503, {"reason": "outage"}, retry_after_seconds=1)
         elif self.settings.outage == HANG:
@@ -196,7 +212,7 @@
 
 
 class _Handler(http.server.BaseHTTPRequestHandler):
-    """Reads requests of one connection and hands them to the stand-in."""
+    """Reads the requests of one connection and passes them to the stand-in."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -211,7 +227,7 @@
         self.wfile.flush()
 
     def log_message(self, format: str, *args: typing.Any) -> None:
-        """Log nothing: counts are read from the control endpoint."""
+        """Suppress the access log; tests read counters from the control endpoint."""
 
     def _serve(self) -> None:
         length = self.headers.get("Content-Length", "0")
@@ -232,14 +248,14 @@
 
 
 class _Server(http.server.ThreadingHTTPServer):
-    """One thread for each connection, ended with the process."""
+    """An HTTP server with a daemon thread for each connection."""
 
     daemon_threads = True
     block_on_close = False
     request_queue_size = 512
 
     def handle_error(self, request: typing.Any, client_address: typing.Any) -> None:
-        """Report a fault of the stand-in; a caller that went away is none."""
+        """Print exceptions of the stand-in; ignore OSError, raised when a caller disconnects."""
         if not isinstance(sys.exception(), OSError):
             super().handle_error(request, client_address)
 
@@ -248,7 +264,7 @@
     settings: _SettingsType,
     create: collections.abc.Callable[[_SettingsType], StandIn[_SettingsType]],
 ) -> None:
-    """Take the port and the settings from flags, and serve until told to end."""
+    """Read the port and the settings from flags, and serve until SIGTERM or Ctrl-C."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, default=0, help="0 takes any free port")
     for field in dataclasses.fields(settings):
@@ -264,7 +280,7 @@
 
 
 def create_server(stand_in: StandIn[typing.Any], port: int) -> http.server.HTTPServer:
-    """Return a server that listens; `serve_forever` answers."""
+    """Return a listening server; the caller runs `serve_forever`."""
     handler = type("Handler", (_Handler,), {"stand_in": stand_in})
     return _Server((_HOST, port), handler)
 
--- a/standins/oleander_standins/service.py
+++ b/standins/oleander_standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts how often it ran each request."""
+"""A stand-in for a plain service, which counts how often each request ran."""
 
 import collections
 import dataclasses
@@ -13,27 +13,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The service's pace and faults."""
+    """The duration of calls and the faults to inject."""
 
     service_ms: int = 0
-    """How long a run takes."""
+    """How long a call runs, in milliseconds."""
     lose_before: int = 0
-    """So many next calls are dropped with no effect."""
+    """How many of the next calls do not run and get no answer."""
     lose_after: int = 0
-    """So many next calls run and their answers are dropped."""
+    """How many of the next calls run but get no answer."""
     fail: int = 0
-    """So many next calls run and are answered 500."""
+    """How many of the next calls run and are answered 500."""
     hang: bool = False
-    """Calls get no answer and do not run; they are dropped once this is cleared."""
+    """Calls do not run; their connections stay open and are closed once this is cleared."""
     hold: bool = False
-    """Calls run but are answered only once this is cleared, which `release` does too."""
+    """Calls run but are answered only once this is cleared, also by the `release` command."""
 
 
 class Service(server.StandIn[Settings]):
     """
-    Runs calls; a run counts from its start.
+    Runs calls and counts them by operation and by idempotency key.
 
-    Runs are counted for each of the newest hundred thousand keys.
+    A run is counted when it starts. The counts of the hundred thousand most recent keys are kept.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -45,7 +45,7 @@
         self._runs_by_operation: collections.Counter[str] = collections.Counter()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Run a call."""
+        """Answer a call of an operation."""
         match exchange.route:
             case ("POST", "call", operation):
                 self._answer_call(exchange, operation)
@@ -53,7 +53,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the runs."""
+        """Return the numbers of runs and of calls that are held or hanging."""
         return {
             "runs": self._runs,
             "holding": self._holding,
@@ -63,7 +63,7 @@
         }
 
     def command(self, name: str, value: typing.Any) -> bool:
-        """Let go of the calls that are held."""
+        """Answer the held calls on `release`; return False for other commands."""
         if name != "release":
             return False
         self.settings.hold = False
@@ -109,7 +109,7 @@
 
 
 def main() -> None:
-    """Serve calls."""
+    """Run the service stand-in."""
     server.run_program(Settings(), Service)
 
 
--- a/standins/oleander_standins/site.py
+++ b/standins/oleander_standins/site.py
@@ -1,4 +1,4 @@
-"""Keep a small site running, to try the operator's commands by hand."""
+"""Run a small deployment for trying out the operator's commands by hand."""
 
 import pathlib
 import signal
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Start the site, say how to reach it, and stop on Ctrl-C or after an hour."""
+    """Start the deployment, print how to reach it, and stop on Ctrl-C or after an hour."""
     stopped = threading.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, lambda *_: stopped.set())
@@ -37,7 +37,7 @@
 
 
 def describe_site(deployed: deployment.Deployment) -> None:
-    """Write the variables that the commands need, and say where they are."""
+    """Write a shell file with the variables that the commands need, and print its path."""
     cluster = deployed.cluster
     entries = ",".join(cluster.url(name) for name in deployed.entries)
     lines = [
--- a/standins/oleander_standins/trainer.py
+++ b/standins/oleander_standins/trainer.py
@@ -1,8 +1,8 @@
 """
-A trainer that checks every promise made to it.
+A stand-in for a trainer that checks every sample it receives.
 
-Prints one JSON line for each step and a last one for all; ends with 1 where a promise was broken
-and with 3 where a later run of the same trainer took over.
+Prints a JSON line for each step and a summary as the last one. Exits with 1 if a check failed and
+with 3 if a later run of the same trainer has superseded this one.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 class Trainer:
-    """Takes steps one after the other; hands what it found to a writer of lines."""
+    """Runs training steps one after the other and passes their results to `write`."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._raises_left = options.raises
 
     def run(self) -> int:
-        """Take every step; return the exit code."""
+        """Run all steps; return the exit code."""
         try:
             for index in range(self._options.steps):
                 if self._options.publish_weights:
@@ -129,7 +129,7 @@
         return collector
 
     def _raise_version(self, check: trainer_checks.StepCheck) -> None:
-        """Raise the version in the middle of a step, once something is held."""
+        """Publish the versions of `--raises` in the middle of a step, once a sample is held."""
         if not check.format_held():
             return
         while self._raises_left > 0:
@@ -172,7 +172,7 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Return the parser of the trainer's flags."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--entry", action="append", required=True, help="URL; may be repeated")
     for name in ("customer", "trainer", "model", "token"):
@@ -197,22 +197,34 @@
     }
     for name, default in numbers.items():
         parser.add_argument(f"--{name}", type=int, default=default)
-    parser.add_argument("--publish-weights", action="store_true", help="a version for each step")
-    parser.add_argument("--checks-marks", action="store_true", help="engines mark each token")
-    parser.add_argument("--print-pulls", action="store_true", help="a line for each put and pull")
     parser.add_argument(
-        "--pulls-where-put", action="store_true", help="ignore the collector named"
+        "--publish-weights", action="store_true", help="publish a new version before each step"
     )
     parser.add_argument(
-        "--states-held", action="store_true", help="registrations say what is held"
+        "--checks-marks",
+        action="store_true",
+        help="compare labels with the versions that engines mark in the text",
+    )
+    parser.add_argument(
+        "--print-pulls", action="store_true", help="print a line for each registration and pull"
+    )
+    parser.add_argument(
+        "--pulls-where-put", action="store_true", help="pull from the entry that took the step"
+    )
+    parser.add_argument(
+        "--states-held", action="store_true", help="state the samples held in registrations"
+    )
+    parser.add_argument(
+        "--held", default="", help="samples of the first step already held, such as 0-5,9"
+    )
+    parser.add_argument(
+        "--weights-url", default="", help="URL of the weight store for published weights"
     )
-    parser.add_argument("--held", default="", help="what a checkpoint of the first step has")
-    parser.add_argument("--weights-url", default="", help="store the weights there first")
     return parser
 
 
 def main() -> None:
-    """Take the steps that the flags tell."""
+    """Run the trainer stand-in."""
     sys.exit(Trainer(create_parser().parse_args(), _print_line).run())
 
 
--- a/standins/oleander_standins/trainer_checks.py
+++ b/standins/oleander_standins/trainer_checks.py
@@ -1,4 +1,4 @@
-"""What a trainer was promised of each sample, checked on arrival."""
+"""Checks of the samples that a trainer receives: completeness, staleness, labels and text."""
 
 import collections.abc
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Group:
-    """Samples of one prompt."""
+    """A group of samples of one prompt."""
 
     prompt: str
     prefix: str
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What arrived; of the problems the first fifty are kept."""
+    """Counts of the samples received and the first fifty problems found."""
 
     samples: int = 0
     tokens: int = 0
@@ -33,16 +33,16 @@
 
     @property
     def staleness_mean(self) -> float:
-        """How many versions behind a sample was on average."""
+        """Mean staleness of the samples, in versions."""
         return round(self.staleness_sum / self.samples, 3) if self.samples else 0.0
 
     def reject(self, problem: str) -> None:
-        """Note a broken promise."""
+        """Record a failed check."""
         if len(self.problems) < _MAX_PROBLEMS:
             self.problems.append(problem)
 
     def add(self, other: "Tally") -> None:
-        """Take in what arrived in another step."""
+        """Add the counts and problems of another tally."""
         self.samples += other.samples
         self.tokens += other.tokens
         self.duplicates += other.duplicates
@@ -53,7 +53,7 @@
             self.reject(problem)
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the figures."""
+        """Return the counts, without the problems."""
         return {
             "samples": self.samples,
             "staleness_max": self.staleness_max,
@@ -65,7 +65,7 @@
 
 
 class StepCheck:
-    """Holds the samples of one step and checks each that arrives."""
+    """Checks the samples of one step as they arrive and records which ones are held."""
 
     def __init__(
         self,
@@ -76,7 +76,12 @@
         checks_marks: bool = False,
         held: str = "",
     ) -> None:
-        """Start with the samples of a checkpoint, numbers and ranges like 0-5,9."""
+        """
+        Start a step in which the samples of a checkpoint are held already.
+
+        `held` lists them as numbers and ranges such as 0-5,9. `bound` is the largest staleness
+        allowed, in versions; `checks_marks` compares labels with the versions marked in the text.
+        """
         self.tally = Tally()
         self._step = step
         self._version = version
@@ -93,11 +98,11 @@
         return len(self._held) == len(self._groups)
 
     def raise_version(self, version: int) -> None:
-        """Expect what comes from now on to be fresh for a later version."""
+        """Measure the staleness of later samples against a newer version."""
         self._version = version
 
     def format_held(self) -> str:
-        """Return the numbers held as ranges, like 0-5,9."""
+        """Return the numbers of the samples held, as ranges such as 0-5,9."""
         ranges: list[list[int]] = []
         for number in sorted(self._held):
             if ranges and ranges[-1][1] == number - 1:
@@ -109,7 +114,7 @@
         )
 
     def take_answer(self, answer: dict[str, typing.Any]) -> None:
-        """Check and keep the samples of one whole answer."""
+        """Check a complete answer to a pull and record its samples as held."""
         try:
             self._check_answer(answer)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -171,7 +176,7 @@
             self._reject(f"sample {number} {_describe_difference(text, expected)}")
 
     def _check_marks(self, number: int, sample: dict[str, typing.Any]) -> None:
-        """Compare the label with what the engines wrote into the text itself."""
+        """Compare the label with the versions that the engines marked in the text."""
         marks = tokens.read_marks(sample["text"])
         label = [(run["version"], run["tokens"]) for run in sample["label"]]
         if marks != label:
@@ -182,7 +187,7 @@
 
 
 def _read_held(text: str) -> set[int]:
-    """Return the numbers of a text like 0-5,9."""
+    """Parse a list of numbers and ranges such as 0-5,9."""
     held: set[int] = set()
     for part in filter(None, text.split(",")):
         first, _, last = part.partition("-")
@@ -191,7 +196,12 @@
 
 
 def _describe_difference(text: str, expected: str) -> str:
-    """Return where a text leaves the expected one, and what stands there instead."""
+    """
+    Describe how a text differs from the expected one.
+
+    Gives the position of the first wrong token, and where the text's tokens occur in the expected
+    text; -1 stands for a token that does not occur in it.
+    """
     found, wanted = text.split(), expected.split()
     pairs = enumerate(zip(found, wanted, strict=False))
     place = next((index for index, (one, other) in pairs if one != other), len(found))
--- a/standins/oleander_standins/trainer_client.py
+++ b/standins/oleander_standins/trainer_client.py
@@ -1,4 +1,4 @@
-"""A trainer's requests: each is made again, through another entry, until it is answered."""
+"""The trainer's HTTP client, which retries a failed request through the next entry."""
 
 import base64
 import collections.abc
@@ -20,20 +20,20 @@
 
 
 class SupersededError(Exception):
-    """A later run of this trainer has been seen."""
+    """A later run of the same trainer has superseded this one."""
 
 
 class RefusedError(Exception):
-    """A request was answered with something that trying again can't help."""
+    """A request was refused with an answer that a retry can't change."""
 
 
 class LateError(Exception):
-    """A request was not answered in the time given to the step."""
+    """The deadline of a step passed before its requests succeeded."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Names:
-    """Who asks, and for what."""
+    """The names and the token that a trainer's requests carry."""
 
     customer: str
     trainer: str
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pulled:
-    """What a pull gave: a whole answer, or nothing and whether the step has to be put again."""
+    """Result of a pull: an intact answer, or None and whether to register the step again."""
 
     answer: dict[str, typing.Any] | None = None
     put_again: bool = False
 
 
 class TrainerClient:
-    """Puts versions and steps through the entries in turn, and pulls from a collector."""
+    """Publishes versions and registers steps through the entries, and pulls from a collector."""
 
     def __init__(
         self,
@@ -59,7 +59,12 @@
         call_seconds: float,
         pulls_where_put: bool = False,
     ) -> None:
-        """Pull from the URL that took the step, if told so: a relay may stand before an entry."""
+        """
+        Use the entries in turn; `call_seconds` is the timeout of a request.
+
+        With `pulls_where_put`, pulls go to the URL of the entry that registered the step and not
+        to the collector that it names, so that they pass a relay in front of the entry.
+        """
         self.lost_answers = 0
         self.unknown_steps = 0
         self._entries = entries
@@ -70,23 +75,23 @@
 
     @property
     def entry(self) -> int:
-        """The place of the entry that is asked now."""
+        """The index of the entry in use."""
         return self._turn % len(self._entries)
 
     def put_version(self, version: int, uri: str, give_up_at: float) -> None:
-        """Announce weights."""
+        """Publish a version of the model with the URI of its weights."""
         path = f"/v1/customers/{self._names.customer}/models/{self._names.model}"
         self._put(f"{path}/versions/{version}", {"uri": uri}, give_up_at)
 
     def put_step(self, step: int, body: dict[str, typing.Any], give_up_at: float) -> str:
-        """Register a step; return the URL of its collector."""
+        """Register a step; return the URL to pull from."""
         answer = self._put(self._format_step_path(step), body, give_up_at)
         if self._pulls_where_put:
             return self._entries[self.entry]
         return str(answer.get("collector"))
 
     def store_weights(self, url: str, body: bytes, give_up_at: float) -> None:
-        """Put weights into the weight store."""
+        """Write weights to the weight store, with retries until the deadline."""
         while time.monotonic() < give_up_at:
             with contextlib.suppress(OSError, http.client.HTTPException):
                 if client.call("PUT", url, body, {}, self._call_seconds).status == _STATUS_OK:
@@ -95,7 +100,7 @@
         raise LateError(url)
 
     def pull(self, collector: str, step: int, body: dict[str, typing.Any]) -> Pulled:
-        """Ask the collector for samples."""
+        """Pull samples of a step once; a truncated or damaged answer is counted as lost."""
         url = f"{collector}{self._format_step_path(step)}/pull"
         try:
             response = self._call("POST", url, body, body["wait_ms"] / 1000 + self._call_seconds)
@@ -151,7 +156,7 @@
         return client.call(method, url, json.dumps(body).encode(), headers, timeout)
 
     def _raise_or_wait(self, response: client.Response) -> None:
-        """Wait as long as the answer says, or raise where waiting can't help."""
+        """Wait for the retry delay of a refusal, or raise if a retry can't succeed."""
         problem = _read_object(response)
         if response.status == _STATUS_CONFLICT and problem.get("reason") == "superseded":
             raise SupersededError
--- a/standins/oleander_standins/weights.py
+++ b/standins/oleander_standins/weights.py
@@ -1,4 +1,4 @@
-"""The weights of the engine stand-in: what is loaded, and orders to load other ones."""
+"""The weights of the engine stand-in: the version loaded and orders to load another one."""
 
 import collections
 import collections.abc
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Order:
-    """An order to load a version."""
+    """An order to load a version, with the fencing number of its sender."""
 
     model: str
     version: int
@@ -29,17 +29,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Faults:
-    """How one order is to go."""
+    """Settings and faults that apply to one order."""
 
     checks_fencing: bool
     fails: bool
     load_seconds: float
+    """How long the load takes, after the weights were fetched."""
     weights_url: str
     pause_halfway: collections.abc.Callable[[], None]
 
 
 class Weights:
-    """Loads one version at a time; keeps the newest thousand orders for checks."""
+    """Carries out orders one at a time and keeps the newest thousand for tests."""
 
     def __init__(
         self,
@@ -59,12 +60,12 @@
 
     @property
     def version(self) -> int | None:
-        """The version that makes tokens, or nothing after a load that failed midway."""
+        """The version loaded, or None after a load that failed midway."""
         return self._version
 
     @property
     def state(self) -> dict[str, typing.Any]:
-        """What the engine says of its weights."""
+        """The version, whether a load is running, and the last fencing number accepted."""
         with self._lock:
             return {
                 "version": self._version,
@@ -74,11 +75,11 @@
 
     @property
     def orders(self) -> list[dict[str, typing.Any]]:
-        """The orders carried out or refused, oldest first."""
+        """The orders carried out or refused with their statuses, oldest first."""
         return list(self._orders)
 
     def load(self, order: Order, faults: Faults) -> int:
-        """Carry out an order, one at a time; return the HTTP status that tells how it went."""
+        """Carry out an order after those before it; return the HTTP status of the result."""
         with self._turn:
             status = self._load(order, faults)
         self._orders.append(dataclasses.asdict(order) | {"status": status})
--- a/standins/oleander_standins/weightstore.py
+++ b/standins/oleander_standins/weightstore.py
@@ -1,4 +1,4 @@
-"""A rate-limited store of weights in memory."""
+"""A stand-in for a weight store: weights in memory, with a limit on the read rate."""
 
 import collections
 import dataclasses
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The store's limit."""
+    """The limit of the store."""
 
     reads_per_second: int = 0
-    """More are answered 429; 0 sets no limit."""
+    """Reads above this rate are answered 429; 0 sets no limit."""
 
 
 class WeightStore(server.StandIn[Settings]):
-    """Keeps the weights written last; the oldest go at the bound."""
+    """Keeps the two hundred most recently written weights."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
@@ -29,7 +29,7 @@
         self._read_times: collections.deque[float] = collections.deque()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Store or return weights."""
+        """Route a request to write or read weights."""
         match exchange.route:
             case ("PUT", "weights", model, version):
                 self._store((model, version), exchange.body)
@@ -40,7 +40,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return reads, writes, refusals and the versions kept."""
+        """Return the numbers of reads, writes and refused reads, and the versions kept."""
         versions = [f"{model}/{version}" for model, version in self._weights]
         return {name: self._counts[name] for name in ("reads", "writes", "limited")} | {
             "versions": versions
@@ -81,7 +81,7 @@
 
 
 def main() -> None:
-    """Serve weights."""
+    """Run the weight store stand-in."""
     server.run_program(Settings(), WeightStore)
 
 
