--- a/standins/oleander_standins/logservice.py
+++ b/standins/oleander_standins/logservice.py
@@ -1,4 +1,4 @@
-"""A log service in memory: streams of records with offsets, faults on request."""
+"""A stand-in for the platform's log: streams of records in memory, with injected faults."""
 
 import collections
 import dataclasses
@@ -10,30 +10,30 @@
 
 from oleander_standins import server
 
-_MOST_STREAMS = 1000
-_MOST_RECORDS_READ = 500
-_LONGEST_WAIT_MS = 30_000
+_MAX_STREAMS = 1000
+_MAX_RECORDS_PER_READ = 500
+_MAX_WAIT_MS = 30_000
 
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The service's limits and faults."""
+    """The limits of the service and the faults to inject."""
 
     retention: int = 100_000
-    """How many records of a stream are kept."""
+    """Number of newest records kept in each stream."""
     appends_per_second: int = 0
-    """More are answered 429; 0 sets no limit."""
+    """Appends above this rate are answered 429; 0 sets no limit."""
     lose_before: int = 0
-    """So many next appends are dropped with no effect."""
+    """How many of the next appends have no effect and get no answer."""
     lose_after: int = 0
-    """So many next appends take effect and their answers are dropped."""
+    """How many of the next appends take effect but get no answer."""
     late: int = 0
-    """So many next appends are dropped at once and take effect after `late_ms`."""
+    """How many of the next appends get no answer and take effect after `late_ms`."""
     late_ms: int = 1000
 
 
 class _Stream:
-    """The newest records of one stream, each encoded once; the oldest go at the bound."""
+    """The newest records of a stream, each stored as JSON text; the oldest are evicted."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -42,11 +42,11 @@
 
     @property
     def first_offset(self) -> int:
-        """The oldest record kept."""
+        """The offset of the oldest record kept."""
         return self.next_offset - len(self._records)
 
     def append(self, values: list[typing.Any], retention: int) -> int:
-        """Add records together; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
         now_ms = int(time.time() * 1000)
         with self.changed:
             first = self.next_offset
@@ -60,7 +60,7 @@
         return first
 
     def read(self, offset: int, limit: int, wait_ms: int) -> bytes:
-        """Return the body of a page, waiting for the first record."""
+        """Return a page of records as JSON, after waiting up to `wait_ms` for the first record."""
         with self.changed:
             self.changed.wait_for(lambda: self.next_offset > offset, wait_ms / 1000)
             first_offset = self.first_offset
@@ -75,17 +75,17 @@
 
 
 class LogService(server.StandIn[Settings]):
-    """Holds a bounded number of streams; a request for one more is answered 400."""
+    """Serves streams, created on first use; above a thousand, a new one is answered 400."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
         self._streams: dict[str, _Stream] = {}
         self._counts: collections.Counter[str] = collections.Counter()
-        self._allowance = math.inf
-        self._allowance_at = time.monotonic()
+        self._bucket_level = math.inf
+        self._bucket_refilled_at = time.monotonic()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Append or read."""
+        """Route a request to append to or read from a stream."""
         match exchange.route:
             case ("POST", "streams", name, "records"):
                 self._answer_append(exchange, name)
@@ -95,7 +95,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the counts and what each stream holds."""
+        """Return the counters and the next and first offset of each stream."""
         streams = self._streams.items()
         return {
             "appends": self._counts["appends"],
@@ -142,14 +142,14 @@
             exchange.send_json(400, {"reason": "too many streams"})
             return
         offset = _read_number(exchange, "offset", 0)
-        limit = min(_read_number(exchange, "limit", _MOST_RECORDS_READ), _MOST_RECORDS_READ)
-        wait_ms = min(_read_number(exchange, "wait_ms", 0), _LONGEST_WAIT_MS)
+        limit = min(_read_number(exchange, "limit", _MAX_RECORDS_PER_READ), _MAX_RECORDS_PER_READ)
+        wait_ms = min(_read_number(exchange, "wait_ms", 0), _MAX_WAIT_MS)
         body = stream.read(offset, limit, wait_ms)
         exchange.send_bytes(200, body, {"Content-Type": "application/json"})
 
     def _find_stream(self, name: str) -> _Stream | None:
         with self.changed:
-            if name not in self._streams and len(self._streams) < _MOST_STREAMS:
+            if name not in self._streams and len(self._streams) < _MAX_STREAMS:
                 self._streams[name] = _Stream()
             return self._streams.get(name)
 
@@ -159,13 +159,13 @@
             return True
         with self.changed:
             now = time.monotonic()
-            refilled = self._allowance + (now - self._allowance_at) * rate
-            self._allowance = min(refilled, float(rate))
-            self._allowance_at = now
-            if self._allowance < 1.0:
+            refilled = self._bucket_level + (now - self._bucket_refilled_at) * rate
+            self._bucket_level = min(refilled, float(rate))
+            self._bucket_refilled_at = now
+            if self._bucket_level < 1.0:
                 self._counts["limited"] += 1
                 return False
-            self._allowance -= 1.0
+            self._bucket_level -= 1.0
             return True
 
 
@@ -175,7 +175,7 @@
 
 
 def main() -> None:
-    """Serve a log."""
+    """Run the log stand-in."""
     server.run_program(Settings(), LogService)
 
 
--- a/standins/oleander_standins/relay.py
+++ b/standins/oleander_standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that stands between two processes and cuts or holds what they send."""
+"""A TCP relay between two processes that can close connections and hold or alter data."""
 
 import collections.abc
 import contextlib
@@ -11,22 +11,23 @@
 CUT = "cut"
 DAMAGED = "damaged"
 _SAMPLE_TEXT = b'"text":"'
-_MOST_BYTES = 64 * 1024
-_MOST_CONNECTIONS = 1000
-_CONNECT_SECONDS = 5.0
-_LONGEST_HOLD_SECONDS = 600.0
-_JOIN_SECONDS = 5.0
+_MAX_READ_BYTES = 64 * 1024
+_MAX_CONNECTIONS = 1000
+_CONNECT_TIMEOUT_SECONDS = 5.0
+_MAX_HOLD_SECONDS = 600.0
+_JOIN_TIMEOUT_SECONDS = 5.0
 
 
 class Relay:
     """
-    Passes connections on to a target; above a thousand at a time, new ones are closed.
+    Forwards connections to a target.
 
-    A target that refuses shows as a connection that closes at once.
+    New connections are closed at once while a thousand are open, and if the target refuses the
+    connection.
     """
 
     def __init__(self, target: str) -> None:
-        """Listen on a free port for a target given as IP:port, which may be changed later."""
+        """Listen on a free port; `target` is IP:port and may be changed for later connections."""
         self.target = target
         self._changed = threading.Condition()
         self._passed = dict.fromkeys(_DIRECTIONS, 0)
@@ -43,13 +44,13 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as IP:port."""
+        """The address that the relay listens on, as IP:port."""
         host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     @property
     def url(self) -> str:
-        """Where it listens, as a URL."""
+        """The URL that the relay listens on."""
         return f"http://{self.address}"
 
     @property
@@ -60,53 +61,53 @@
 
     @property
     def bytes_passed(self) -> int:
-        """How many bytes were passed on, both ways together."""
+        """How many bytes were forwarded, in both directions together."""
         with self._changed:
             return sum(self._passed.values())
 
     @property
     def spoils_left(self) -> int:
-        """How many answers are still to be spoiled."""
+        """How many of the faults requested with `spoil` have not been used."""
         with self._changed:
             return len(self._spoils)
 
     def cut(self) -> None:
-        """Close every connection, and each new one at once, until healed."""
+        """Close every connection, and each new one at once, until `heal` is called."""
         with self._changed:
             self._is_cut = True
             self._close_pairs()
 
     def drop_connections(self) -> None:
-        """Close every connection; new ones pass."""
+        """Close every open connection; new ones are forwarded."""
         with self._changed:
             self._close_pairs()
 
     def block(self, direction: str) -> None:
-        """Hold what is sent one way until healed; the connections stay open."""
+        """Hold data in one direction until `release` or `heal`; connections stay open."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._blocked.add(direction)
 
     def block_open_connections(self) -> None:
-        """Hold what the connections open now send, both ways; later ones pass."""
+        """Hold data of the open connections in both directions; later ones are forwarded."""
         with self._changed:
             for pair in self._pairs:
                 pair.blocked.update(_DIRECTIONS)
 
     def hold_requests(self, text: str, direction: str) -> None:
-        """Hold one way, until healed, each connection that sends a text from now on."""
+        """Hold one direction of each connection whose client sends a text, until released."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._held_text = text.encode()
             self._held_direction = direction
 
     def pass_requests(self) -> None:
-        """Let new connections pass whatever they send; what is held stays held."""
+        """Stop matching the text of `hold_requests`; connections held already stay held."""
         with self._changed:
             self._held_text = b""
 
     def release(self, direction: str) -> None:
-        """Pass again what is sent one way, what was held first."""
+        """Forward data in one direction again, starting with the data that was held."""
         assert direction in _DIRECTIONS, direction
         with self._changed:
             self._blocked.discard(direction)
@@ -115,23 +116,28 @@
             self._changed.notify_all()
 
     def spoil(self, how: str) -> None:
-        """Cut the next answer with samples in the middle, or change a digit of its first text."""
+        """
+        Alter the next answer with samples that no earlier call alters.
+
+        `CUT` closes the connection within the answer; `DAMAGED` changes the first digit of the
+        text of its first sample.
+        """
         assert how in {CUT, DAMAGED}, how
         with self._changed:
             self._spoils.append(how)
 
     def count_held(self, direction: str) -> int:
-        """Return how many connections have bytes that are held on their way."""
+        """Return how many connections have data held in a direction."""
         with self._changed:
             return sum(direction in pair.held for pair in self._pairs)
 
     def holds(self, direction: str, text: str) -> bool:
-        """Tell whether a text is among what is held on its way."""
+        """Return whether data held in a direction contains a text."""
         with self._changed:
             return any(text.encode() in pair.held.get(direction, b"") for pair in self._pairs)
 
     def heal(self) -> None:
-        """Pass everything again, what was held first."""
+        """Forward everything again, starting with the data that was held."""
         with self._changed:
             self._is_cut = False
             self._held_text = b""
@@ -139,14 +145,14 @@
             self.release(direction)
 
     def close(self) -> None:
-        """Close every connection and end every thread."""
+        """Close the listener and every connection, and wait for the threads to end."""
         with self._changed:
             self._is_closed = True
             self._close_pairs()
             threads = list(self._threads)
-        _shut(self._listener)
+        _shut_down_socket(self._listener)
         for thread in threads:
-            thread.join(_JOIN_SECONDS)
+            thread.join(_JOIN_TIMEOUT_SECONDS)
         self._listener.close()
 
     def _start_thread(self, task: collections.abc.Callable[..., None], *arguments: object) -> None:
@@ -168,18 +174,18 @@
                 client, _ = self._listener.accept()
             except OSError:
                 return
-            self._start_thread(self._join_target, client)
+            self._start_thread(self._connect_to_target, client)
 
-    def _join_target(self, client: socket.socket) -> None:
+    def _connect_to_target(self, client: socket.socket) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            server = socket.create_connection((host, int(port)), _CONNECT_SECONDS)
+            server = socket.create_connection((host, int(port)), _CONNECT_TIMEOUT_SECONDS)
         except OSError:
             client.close()
             return
         pair = _Pair(client, server)
         with self._changed:
-            refused = self._is_cut or self._is_closed or len(self._pairs) >= _MOST_CONNECTIONS
+            refused = self._is_cut or self._is_closed or len(self._pairs) >= _MAX_CONNECTIONS
             if not refused:
                 self._pairs.add(pair)
         if refused:
@@ -192,7 +198,7 @@
         self, pair: "_Pair", source: socket.socket, sink: socket.socket, direction: str
     ) -> None:
         try:
-            while data := source.recv(_MOST_BYTES):
+            while data := source.recv(_MAX_READ_BYTES):
                 if direction == TO_SERVER:
                     self._hold_matching(pair, data)
                 pair.held[direction] = data
@@ -229,7 +235,7 @@
         with self._changed:
             self._changed.wait_for(
                 lambda: pair.is_closed or not self._is_blocked(pair, direction),
-                _LONGEST_HOLD_SECONDS,
+                _MAX_HOLD_SECONDS,
             )
 
     def _is_blocked(self, pair: "_Pair", direction: str) -> bool:
@@ -249,7 +255,7 @@
 
 
 class _Pair:
-    """The two sockets of one connection."""
+    """The client's and the target's socket of a relayed connection."""
 
     __slots__ = ("blocked", "client", "held", "is_closed", "pumps_left", "server")
 
@@ -261,15 +267,15 @@
         self.server = server
         self.blocked: set[str] = set()
         self.held: dict[str, bytes] = {}
-        """What was read one way and is not passed on yet."""
+        """Data read in each direction that is not forwarded yet."""
         self.is_closed = False
         self.pumps_left = 2
 
     def shut(self) -> None:
-        """Make blocked reads of both sockets end."""
+        """Shut down both sockets, which ends blocked reads."""
         self.is_closed = True
-        _shut(self.client)
-        _shut(self.server)
+        _shut_down_socket(self.client)
+        _shut_down_socket(self.server)
 
     def close(self) -> None:
         """Close both sockets."""
@@ -278,6 +284,6 @@
         self.server.close()
 
 
-def _shut(end: socket.socket) -> None:
+def _shut_down_socket(end: socket.socket) -> None:
     with contextlib.suppress(OSError):
         end.shutdown(socket.SHUT_RDWR)
--- a/standins/oleander_standins/weightstore.py
+++ b/standins/oleander_standins/weightstore.py
@@ -1,4 +1,4 @@
-"""A rate-limited store of weights in memory."""
+"""A stand-in for a weight store: weights in memory, with a limit on the read rate."""
 
 import collections
 import dataclasses
@@ -7,29 +7,29 @@
 
 from oleander_standins import server
 
-_MOST_VERSIONS = 200
-_Name = tuple[str, str]
+_MAX_VERSIONS = 200
+_WeightsKey = tuple[str, str]
 
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The store's limit."""
+    """The limit of the store."""
 
     reads_per_second: int = 0
-    """More are answered 429; 0 sets no limit."""
+    """Reads above this rate are answered 429; 0 sets no limit."""
 
 
 class WeightStore(server.StandIn[Settings]):
-    """Keeps the weights written last; the oldest go at the bound."""
+    """Keeps the two hundred most recently written weights."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self._weights: dict[_Name, bytes] = {}
+        self._weights: dict[_WeightsKey, bytes] = {}
         self._counts: collections.Counter[str] = collections.Counter()
         self._read_times: collections.deque[float] = collections.deque()
 
     def answer(self, exchange: server.Exchange) -> None:
-        """Store or return weights."""
+        """Route a request to write or read weights."""
         match exchange.route:
             case ("PUT", "weights", model, version):
                 self._store((model, version), exchange.body)
@@ -40,21 +40,21 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return reads, writes, refusals and the versions kept."""
+        """Return the numbers of reads, writes and refused reads, and the versions kept."""
         versions = [f"{model}/{version}" for model, version in self._weights]
         return {name: self._counts[name] for name in ("reads", "writes", "limited")} | {
             "versions": versions
         }
 
-    def _store(self, name: _Name, body: bytes) -> None:
+    def _store(self, name: _WeightsKey, body: bytes) -> None:
         with self.changed:
             self._counts["writes"] += 1
             self._weights.pop(name, None)
             self._weights[name] = body
-            if len(self._weights) > _MOST_VERSIONS:
+            if len(self._weights) > _MAX_VERSIONS:
                 self._weights.pop(next(iter(self._weights)))
 
-    def _answer_read(self, exchange: server.Exchange, name: _Name) -> None:
+    def _answer_read(self, exchange: server.Exchange, name: _WeightsKey) -> None:
         if not self._admit_read():
             exchange.send_json(429, {"reason": "rate"}, retry_after_seconds=1)
             return
@@ -81,7 +81,7 @@
 
 
 def main() -> None:
-    """Serve weights."""
+    """Run the weight store stand-in."""
     server.run_program(Settings(), WeightStore)
 
 
