--- a/features/soak.py
+++ b/features/soak.py
@@ -15,10 +15,10 @@
 from oleander_standins import deployment
 
 _EXAMPLE = pathlib.Path(__file__).resolve().parent.parent / "docs" / "examples" / "catania.yaml"
-_FAULTS_IN_EPISODE = 20
+_FAULTS_PER_SCHEDULE = 20
 _SETTLE_SECONDS = 3.0
-_CALLERS = 6
-_INVARIANT_MARK = "invariant-broken"
+_CALLER_COUNT = 6
+_INVARIANT_EVENT = "invariant-broken"
 HOSTS = (
     deployment.BackendHost("desk-a", "desk", "service", "a"),
     deployment.BackendHost("desk-b", "desk", "service", "b"),
@@ -61,9 +61,9 @@
     cluster = support.Cluster()
     try:
         deployed = start(cluster)
-        bookings = soak_load.Bookings(deployed, seed, _CALLERS)
-        training = soak_load.Training(deployed, "designs", 2, seed)
-        watch = soak_load.Watch(deployed)
+        bookings = soak_load.BookingCallers(deployed, seed, _CALLER_COUNT)
+        training = soak_load.RestartedTrainer(deployed, "designs", 2, seed)
+        watch = soak_load.OffsetWatcher(deployed)
         workers = (bookings, training, watch)
         for worker in workers:
             worker.start()
@@ -78,12 +78,12 @@
 
 def run_faults(deployed, seed, seconds):
     runner = soak_faults.FaultRunner(deployed, HOSTS, seed)
-    give_up_at = time.monotonic() + seconds
-    episode = 0
-    while time.monotonic() < give_up_at:
-        schedule = soak_schedule.draw_schedule(seed * 1000 + episode, _FAULTS_IN_EPISODE)
-        runner.run(schedule, give_up_at)
-        episode += 1
+    deadline = time.monotonic() + seconds
+    schedule_number = 0
+    while time.monotonic() < deadline:
+        schedule = soak_schedule.draw_schedule(seed * 1000 + schedule_number, _FAULTS_PER_SCHEDULE)
+        runner.run(schedule, deadline)
+        schedule_number += 1
     return runner
 
 
@@ -95,7 +95,7 @@
             runs.update(cluster.read_control(host.server_name)["runs_by_key"])
     logs = cluster.read_whole_logs()
     problems = bookings.check_runs(runs) + training.problems + watch.problems + faults.problems
-    problems += [line for line in logs.splitlines() if _INVARIANT_MARK in line]
+    problems += [line for line in logs.splitlines() if _INVARIANT_EVENT in line]
     problems += [line for line in logs.splitlines() if "event=task-failed" in line]
     counts = {
         "bookings": len(bookings.histories),
--- a/features/soak_faults.py
+++ b/features/soak_faults.py
@@ -10,7 +10,7 @@
 import support
 
 _OPERATORS = ("ada", "grace")
-_GRACE_SECONDS = 30
+_JOIN_SECONDS = 30
 
 
 class FaultRunner:
@@ -23,42 +23,42 @@
         self._hosts = hosts
         self._random = random.Random(seed)
         self._lock = threading.Lock()
-        self._busy = set()
+        self._reserved = set()
         self._threads = []
-        kind = soak_schedule.Kind
+        kind = soak_schedule.FaultKind
         self._actions = {
             kind.KILL: self._kill,
-            kind.GRACEFUL_RESTART: self._restart,
+            kind.GRACEFUL_RESTART: self._restart_gracefully,
             kind.FREEZE: self._freeze,
-            kind.CUT: self._cut,
-            kind.HOLD: self._hold,
-            kind.LOG_REFUSES: lambda fault: self._set("log", fault, outage="refuse"),
-            kind.LOG_HANGS: lambda fault: self._set("log", fault, outage="hang"),
-            kind.LOG_SLOW: lambda fault: self._set("log", fault, slow_ms=300),
-            kind.LOG_LOSES_ANSWERS: lambda fault: self._set("log", fault, lose_after=3),
-            kind.LOG_LOSES_APPENDS: lambda fault: self._set("log", fault, lose_before=3),
-            kind.LOG_APPENDS_LATE: lambda fault: self._set("log", fault, late=2, late_ms=1500),
-            kind.SERVICE_LOSES_ANSWERS: lambda fault: self._set_service(fault, lose_after=2),
-            kind.SERVICE_HANGS: lambda fault: self._set_service(fault, hang=True),
-            kind.WEIGHTS_DOWN: lambda fault: self._set("weights", fault, outage="refuse"),
-            kind.LOAD_FAILS: lambda fault: self._set_engine(fault, fail_load=1),
-            kind.LOAD_ANSWER_LOST: lambda fault: self._set_engine(fault, lose_load_answer=1),
-            kind.LOAD_LATE: lambda fault: self._set_engine(fault, late_load=1, late_load_ms=800),
-            kind.ENGINE_SLOW: lambda fault: self._set_engine(fault, slow_factor=5.0),
-            kind.RACE: self._race,
+            kind.LINK_CUT: self._cut_link,
+            kind.LINK_BLOCKED: self._block_link,
+            kind.LOG_REFUSES: lambda fault: self._change_settings("log", fault, outage="refuse"),
+            kind.LOG_HANGS: lambda fault: self._change_settings("log", fault, outage="hang"),
+            kind.LOG_SLOW: lambda fault: self._change_settings("log", fault, slow_ms=300),
+            kind.LOG_LOSES_ANSWERS: lambda fault: self._change_settings("log", fault, lose_after=3),
+            kind.LOG_LOSES_APPENDS: lambda fault: self._change_settings("log", fault, lose_before=3),
+            kind.LOG_APPENDS_LATE: lambda fault: self._change_settings("log", fault, late=2, late_ms=1500),
+            kind.SERVICE_LOSES_ANSWERS: lambda fault: self._change_service(fault, lose_after=2),
+            kind.SERVICE_HANGS: lambda fault: self._change_service(fault, hang=True),
+            kind.WEIGHTS_DOWN: lambda fault: self._change_settings("weights", fault, outage="refuse"),
+            kind.LOAD_FAILS: lambda fault: self._change_engine(fault, fail_load=1),
+            kind.LOAD_ANSWER_LOST: lambda fault: self._change_engine(fault, lose_load_answer=1),
+            kind.LOAD_LATE: lambda fault: self._change_engine(fault, late_load=1, late_load_ms=800),
+            kind.ENGINE_SLOW: lambda fault: self._change_engine(fault, slow_factor=5.0),
+            kind.CONCURRENT_PUBLISH: self._publish_concurrently,
         }
 
-    def run(self, schedule, give_up_at):
+    def run(self, schedule, deadline):
         """Apply faults in order until all are done or time is up; then mend everything."""
         for fault in schedule:
-            time.sleep(fault.wait_ms / 1000)
-            if time.monotonic() > give_up_at:
+            time.sleep(fault.delay_ms / 1000)
+            if time.monotonic() > deadline:
                 break
             thread = threading.Thread(target=self._apply, args=(fault,), daemon=True)
             self._threads.append(thread)
             thread.start()
         for thread in self._threads:
-            thread.join(_GRACE_SECONDS)
+            thread.join(_JOIN_SECONDS)
         self._threads.clear()
 
     def _apply(self, fault):
@@ -68,19 +68,19 @@
         except Exception as error:
             self.problems.append(f"{fault}: {type(error).__name__} {error}")
 
-    def _claim(self, names, fault):
+    def _reserve_process(self, names, fault):
         """Take a process that no other fault has in hand, so that each is mended by its own."""
         with self._lock:
-            free = [name for name in names if name not in self._busy]
+            free = [name for name in names if name not in self._reserved]
             if not free:
                 return None
-            chosen = free[fault.target % len(free)]
-            self._busy.add(chosen)
+            chosen = free[fault.target_index % len(free)]
+            self._reserved.add(chosen)
             return chosen
 
-    def _release(self, name):
+    def _release_process(self, name):
         with self._lock:
-            self._busy.discard(name)
+            self._reserved.discard(name)
 
     def _list_processes(self):
         sidecars = [host.name for host in self._hosts]
@@ -88,90 +88,90 @@
         return [*sidecars, *servers, *self._deployed.entries]
 
     def _kill(self, fault):
-        return self._replace(fault, self._deployed.cluster.kill)
+        return self._replace_process(fault, self._deployed.cluster.kill)
 
-    def _restart(self, fault):
-        return self._replace(fault, lambda name: self._deployed.cluster.terminate(name, 60))
+    def _restart_gracefully(self, fault):
+        return self._replace_process(fault, lambda name: self._deployed.cluster.terminate(name, 60))
 
-    def _replace(self, fault, end):
-        name = self._claim(self._list_processes(), fault)
+    def _replace_process(self, fault, stop_process):
+        name = self._reserve_process(self._list_processes(), fault)
         if name is None:
             return False
         try:
-            end(name)
-            time.sleep(fault.length_ms / 1000)
-            self._start(name)
+            stop_process(name)
+            time.sleep(fault.duration_ms / 1000)
+            self._start_process(name)
         finally:
-            self._release(name)
+            self._release_process(name)
         return True
 
-    def _start(self, name):
+    def _start_process(self, name):
         if name in self._deployed.entries:
             self._deployed.start_entry(name, name[6])
-            self._point(f"{name}-front", name)
+            self._retarget_relay(f"{name}-front", name)
         elif name.endswith("-engine"):
             self._deployed.start_backend_server(name.removesuffix("-engine"))
-            self._point(f"{name}-front", name)
+            self._retarget_relay(f"{name}-front", name)
         else:
             start_sidecar(self._deployed, name)
 
-    def _point(self, relay_name, process_name):
+    def _retarget_relay(self, relay_name, process_name):
         cluster = self._deployed.cluster
         cluster.find_relay(relay_name).target = cluster.find(process_name).address
 
     def _freeze(self, fault):
-        name = self._claim(self._list_processes(), fault)
+        name = self._reserve_process(self._list_processes(), fault)
         if name is None:
             return False
         self._deployed.cluster.freeze(name)
-        time.sleep(fault.length_ms / 1000)
+        time.sleep(fault.duration_ms / 1000)
         self._deployed.cluster.thaw(name)
-        self._release(name)
+        self._release_process(name)
         return True
 
-    def _cut(self, fault):
+    def _cut_link(self, fault):
         relay = self._choose_relay(fault)
         relay.cut()
-        time.sleep(fault.length_ms / 1000)
+        time.sleep(fault.duration_ms / 1000)
         relay.heal()
         return True
 
-    def _hold(self, fault):
+    def _block_link(self, fault):
         relay = self._choose_relay(fault)
         relay.block(self._random.choice(("to_server", "to_client")))
-        time.sleep(fault.length_ms / 1000)
+        time.sleep(fault.duration_ms / 1000)
         relay.heal()
         return True
 
     def _choose_relay(self, fault):
         names = [f"{host.name}-relay" for host in self._hosts]
-        return self._deployed.cluster.find_relay(names[fault.target % len(names)])
+        return self._deployed.cluster.find_relay(names[fault.target_index % len(names)])
 
-    def _set(self, name, fault, **settings):
+    def _change_settings(self, name, fault, **settings):
         cluster = self._deployed.cluster
-        before = {key: self._find_neutral(value) for key, value in settings.items()}
+        before = {key: self._get_healthy_value(value) for key, value in settings.items()}
         cluster.control(name, **settings)
-        time.sleep(fault.length_ms / 1000)
+        time.sleep(fault.duration_ms / 1000)
         cluster.control(name, **before)
         return True
 
-    def _find_neutral(self, value):
+    def _get_healthy_value(self, value):
         return 1.0 if isinstance(value, float) else type(value)()
 
-    def _set_service(self, fault, **settings):
+    def _change_service(self, fault, **settings):
         services = [host.server_name for host in self._hosts if host.kind == "service"]
-        return self._set(services[fault.target % len(services)], fault, **settings)
+        return self._change_settings(services[fault.target_index % len(services)], fault, **settings)
 
-    def _set_engine(self, fault, **settings):
-        name = self._claim([h.server_name for h in self._hosts if h.kind == "engine"], fault)
+    def _change_engine(self, fault, **settings):
+        name = self._reserve_process([h.server_name for h in self._hosts if h.kind == "engine"], fault)
         if name is None:
             return False
         try:
-            return self._set(name, fault, **settings)
+            return self._change_settings(name, fault, **settings)
         finally:
-            self._release(name)
+            self._release_process(name)
 
-    def _race(self, fault):
+    def _publish_concurrently(self, fault):
         """Two operators publish a contract on the same base; one of them is told it lost."""
         offset, document = read_contract(self._deployed)
         for operator in _OPERATORS:
--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -12,10 +12,10 @@
 import support
 from oleander_standins import trainer
 
-_TRIES = 8
-_TIMEOUT_MS = 3000
-_MOST_PAUSE_SECONDS = 1.0
-_BOOKING = ("catania", "booking")
+_MAX_ATTEMPTS = 8
+_CALL_TIMEOUT_MS = 3000
+_MAX_PAUSE_SECONDS = 1.0
+_BOOKING_OPERATION = ("catania", "booking")
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,11 +27,11 @@
     answers: list
 
     @property
-    def last(self):
+    def last_outcome(self):
         return self.answers[-1][0] if self.answers else "none"
 
 
-class Bookings:
+class BookingCallers:
     """Callers that book, each key until it is done or its tries are used up."""
 
     def __init__(self, deployed, seed, callers):
@@ -64,7 +64,7 @@
             history = KeyHistory(key, json.dumps({"key": key}).encode(), [])
             with self._lock:
                 self.histories.append(history)
-            self._book(history, source)
+            self._call_until_done(history, source)
             time.sleep(source.uniform(0, 0.05))
 
     def _choose_key(self, source):
@@ -72,43 +72,43 @@
         if source.random() < 0.5:
             return None
         try:
-            return self._deployed.issue_key(source.choice(self._deployed.entries), *_BOOKING)
+            return self._deployed.issue_key(source.choice(self._deployed.entries), *_BOOKING_OPERATION)
         except (OSError, http.client.HTTPException, KeyError, AssertionError):
             return None
 
-    def _book(self, history, source):
-        for _ in range(_TRIES):
-            outcome, pause = self._ask(history, source)
+    def _call_until_done(self, history, source):
+        for _ in range(_MAX_ATTEMPTS):
+            outcome, pause = self._send_attempt(history, source)
             if outcome == "done":
                 return
             time.sleep(pause)
 
-    def _ask(self, history, source):
+    def _send_attempt(self, history, source):
         entry = source.choice(self._deployed.entries)
         try:
             response = self._deployed.call(
-                entry, *_BOOKING, history.body, history.key, _TIMEOUT_MS, 10.0
+                entry, *_BOOKING_OPERATION, history.body, history.key, _CALL_TIMEOUT_MS, 10.0
             )
         except (OSError, http.client.HTTPException, KeyError):
             history.answers.append(("cut", ""))
             return "cut", 0.1
-        content = self._read(history, response)
+        content = self._parse_body(history, response)
         if response.status == 200:
-            self._check_done(history, response)
+            self._check_done_answer(history, response)
             return "done", 0
         outcome = content.get("outcome", "none")
         history.answers.append((outcome, content.get("reason", "")))
-        return outcome, min(_MOST_PAUSE_SECONDS, content.get("retry_after_ms", 100) / 1000)
+        return outcome, min(_MAX_PAUSE_SECONDS, content.get("retry_after_ms", 100) / 1000)
 
-    def _read(self, history, response):
+    def _parse_body(self, history, response):
         try:
             return json.loads(response.body)
         except ValueError:
             self.problems.append(f"{history.key}: the answer is no JSON: {response.body[:100]}")
             return {}
 
-    def _check_done(self, history, response):
-        content = self._read(history, response)
+    def _check_done_answer(self, history, response):
+        content = self._parse_body(history, response)
         digest = hashlib.sha256(history.body).hexdigest()
         if content.get("key") != history.key or content.get("digest") != digest:
             self.problems.append(f"{history.key} got another's answer: {content}")
@@ -122,12 +122,12 @@
         problems = list(self.problems)
         for history in self.histories:
             count = runs.get(history.key, 0)
-            told = [outcome for outcome, _ in history.answers]
+            outcomes = [outcome for outcome, _ in history.answers]
             if count > 1:
                 problems.append(f"{history.key} ran {count} times: {history.answers}")
-            if "done" in told and count != 1:
+            if "done" in outcomes and count != 1:
                 problems.append(f"{history.key} is done but ran {count} times")
-            if told and set(told) == {"not-run"} and count:
+            if outcomes and set(outcomes) == {"not-run"} and count:
                 problems.append(f"{history.key} was told not-run only, but ran: {history.answers}")
         return problems
 
@@ -135,16 +135,16 @@
         return collections.Counter(history.last for history in self.histories)
 
 
-class Training:
+class RestartedTrainer:
     """A trainer that is started anew, with a higher incarnation, whenever it has ended."""
 
-    def __init__(self, deployed, name, bound, seed):
+    def __init__(self, deployed, name, staleness_bound, seed):
         self.problems = []
         self.samples = 0
         self.runs = 0
         self._deployed = deployed
         self._name = name
-        self._bound = bound
+        self._staleness_bound = staleness_bound
         self._seed = seed
         self._version = 2
         self._stopping = threading.Event()
@@ -160,30 +160,30 @@
     def _run(self):
         while not self._stopping.is_set():
             self.runs += 1
-            process = self._start_process()
+            process = self._start_trainer()
             try:
                 code = process.wait_exit(120)
             except Exception as error:
                 self.problems.append(f"trainer {self.runs}: {error}")
                 return
             lines = [process.lines.get_nowait() for _ in range(process.lines.qsize())]
-            self._judge(code, lines)
+            self._check_run(code, lines)
 
-    def _start_process(self):
+    def _start_trainer(self):
         cluster = self._deployed.cluster
         flags = ["--customer", "catania", "--trainer", self._name, "--model", self._name]
         for entry in self._deployed.entries:
             flags += ["--entry", cluster.url(f"{entry}-front")]
         token = self._deployed.write_headers("catania")["Authorization"].split()[1]
         flags += ["--token", token, "--weights-url", cluster.url("weights"), "--publish-weights"]
-        flags += ["--staleness-bound", self._bound, "--version-start", self._version]
+        flags += ["--staleness-bound", self._staleness_bound, "--version-start", self._version]
         flags += ["--steps", 2, "--first-step", self.runs * 10, "--incarnation", self.runs]
         flags += ["--groups", 3, "--samples", 4, "--max-tokens", 40, "--checks-marks"]
         flags += ["--straggler-every", 5, "--straggler-tokens", 120, "--step-seconds", 90]
         self._version += 2
         return cluster.start("trainer", trainer.__name__, *flags, ready=False)
 
-    def _judge(self, code, lines):
+    def _check_run(self, code, lines):
         for line in lines:
             content = json.loads(line)
             if content.get("summary"):
@@ -196,14 +196,14 @@
             self.problems.append(f"trainer {self.runs} ended with {code}: {lines}")
 
 
-class Watch:
+class OffsetWatcher:
     """Reads the configuration offsets of the entries; within one run none ever decreases."""
 
     def __init__(self, deployed):
         self.problems = []
         self.reads = 0
         self._deployed = deployed
-        self._newest = {}
+        self._highest_offsets = {}
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
@@ -217,9 +217,9 @@
     def _run(self):
         while not self._stopping.wait(0.1):
             for entry in self._deployed.entries:
-                self._read(entry)
+                self._read_offset(entry)
 
-    def _read(self, entry):
+    def _read_offset(self, entry):
         try:
             address = self._deployed.cluster.address(entry)
             headers = self._deployed.write_headers("operator")
@@ -228,7 +228,7 @@
         except (OSError, http.client.HTTPException, ValueError, KeyError):
             return
         self.reads += 1
-        newest = self._newest.get(address, -1)
+        newest = self._highest_offsets.get(address, -1)
         if content["applied_offset"] < newest:
             self.problems.append(f"{entry} went back from {newest} to {content}")
-        self._newest[address] = max(newest, content["applied_offset"])
+        self._highest_offsets[address] = max(newest, content["applied_offset"])
--- a/features/soak_schedule.py
+++ b/features/soak_schedule.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies
 
 
-class Kind(enum.Enum):
+class FaultKind(enum.Enum):
     """A way to fail."""
 
     KILL = "kill"
     FREEZE = "freeze"
-    CUT = "cut"
-    HOLD = "hold"
+    LINK_CUT = "cut"
+    LINK_BLOCKED = "hold"
     LOG_REFUSES = "log refuses"
     LOG_HANGS = "log hangs"
     LOG_SLOW = "log slow"
@@ -28,26 +28,26 @@
     LOAD_LATE = "load takes effect late"
     ENGINE_SLOW = "engine slow"
     GRACEFUL_RESTART = "graceful restart"
-    RACE = "two operators publish"
+    CONCURRENT_PUBLISH = "two operators publish"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
     """One fault; the target is an index into whatever can fail in this way."""
 
-    kind: Kind
-    target: int
-    wait_ms: int
+    kind: FaultKind
+    target_index: int
+    delay_ms: int
     """Since the fault before."""
-    length_ms: int
+    duration_ms: int
 
 
-_EXAMPLES = 5
+_MAX_EXAMPLES = 5
 """The first examples are the simplest ones, the same for every seed; the last one is kept."""
 
-_FAULT = strategies.builds(
+_FAULT_STRATEGY = strategies.builds(
     Fault,
-    strategies.sampled_from(list(Kind)),
+    strategies.sampled_from(list(FaultKind)),
     strategies.integers(0, 30),
     strategies.integers(0, 1200),
     strategies.integers(100, 3000),
@@ -60,13 +60,13 @@
 
     @hypothesis.seed(seed)
     @hypothesis.settings(
-        max_examples=_EXAMPLES,
+        max_examples=_MAX_EXAMPLES,
         database=None,
         deadline=None,
         phases=[hypothesis.Phase.generate],
         suppress_health_check=list(hypothesis.HealthCheck),
     )
-    @hypothesis.given(strategies.lists(_FAULT, min_size=count, max_size=count))
+    @hypothesis.given(strategies.lists(_FAULT_STRATEGY, min_size=count, max_size=count))
     def draw(schedule):
         drawn[:] = schedule
 
