--- a/features/environment.py
+++ b/features/environment.py
@@ -11,11 +11,11 @@
 
 
 def after_scenario(context, scenario):
-    cleanup = getattr(context, "cluster", None)
-    if cleanup is not None:
+    cluster = getattr(context, "cluster", None)
+    if cluster is not None:
         if scenario.status.has_failed():
-            print(cleanup.read_logs())
-        cleanup.stop()
+            print(cluster.read_logs())
+        cluster.stop()
         context.cluster = None
 
 
--- a/features/front_faults.py
+++ b/features/front_faults.py
@@ -7,9 +7,9 @@
 
 import platform_messages
 
-_MOST_PAUSE_SECONDS = 1.2
-_LONGEST_FAULT_SECONDS = 2.5
-_STOP_SECONDS = 12.0
+_MAX_PAUSE_SECONDS = 1.2
+_MAX_FAULT_SECONDS = 2.5
+_EXIT_TIMEOUT_SECONDS = 12.0
 """The programs are told to end within 8 s; the rest is for a busy machine."""
 
 
@@ -20,16 +20,18 @@
         self._site = site
         self.counts = collections.Counter()
         self.problems = []
-        self._busy = set()
+        self._faulty_targets = set()
         self._lock = threading.Lock()
         self._threads = []
-        self._kinds = {
+        self._actions = {
             "kill": self._kill,
             "stop": self._stop,
             "freeze": self._freeze,
-            "hang up": self._hang_up,
-            "cut": lambda front, seconds: self._cut(front, seconds, front.relay.cut),
-            "silence": lambda front, seconds: self._cut(front, seconds, self._silence(front)),
+            "hang up": self._reload,
+            "cut": lambda front, seconds: self._disturb_link(front, seconds, front.relay.cut),
+            "silence": lambda front, seconds: self._disturb_link(
+                front, seconds, self._create_one_way_block(front)
+            ),
             "drop": lambda front, seconds: front.relay.drop_connections(),
             "store down": lambda front, seconds: self._change_store(seconds, is_down=True),
             "store silent": lambda front, seconds: self._change_store(seconds, is_silent=True),
@@ -37,50 +39,50 @@
             "service slow": self._slow_service,
             "answers lost": self._lose_answers,
             "server replaced": self._replace_server,
-            "new version": self._name_version,
-            "configuration": self._publish,
+            "new version": self._publish_version,
+            "configuration": self._publish_configuration,
         }
-        self._version = 1
-        self._configuration = 3
+        self._version_number = 1
+        self._configuration_number = 3
 
     def run(self, seconds):
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         source = self._site.random
-        while time.monotonic() < until:
-            kind = source.choice(sorted(self._kinds))
+        while time.monotonic() < deadline:
+            kind = source.choice(sorted(self._actions))
             front = source.choice(self._site.fronts)
-            length = source.uniform(0.1, _LONGEST_FAULT_SECONDS)
+            length = source.uniform(0.1, _MAX_FAULT_SECONDS)
             thread = threading.Thread(target=self._apply, args=(kind, front, length))
             thread.start()
             self._threads.append(thread)
-            time.sleep(source.uniform(0.0, _MOST_PAUSE_SECONDS))
+            time.sleep(source.uniform(0.0, _MAX_PAUSE_SECONDS))
         for thread in self._threads:
             thread.join()
 
     def _apply(self, kind, front, seconds):
         target = "store" if kind.startswith("store") else front.name
         with self._lock:
-            if target in self._busy:
+            if target in self._faulty_targets:
                 return
-            self._busy.add(target)
+            self._faulty_targets.add(target)
         try:
-            self._kinds[kind](front, seconds)
+            self._actions[kind](front, seconds)
             self.counts[kind] += 1
         except Exception as error:
             self.problems.append(f"{kind} of {target}: {error!r}")
         finally:
             with self._lock:
-                self._busy.discard(target)
+                self._faulty_targets.discard(target)
 
     def _kill(self, front, seconds):
         front.process.kill()
-        front.process.wait(_STOP_SECONDS)
+        front.process.wait(_EXIT_TIMEOUT_SECONDS)
         time.sleep(seconds)
         front.start()
 
     def _stop(self, front, seconds):
         front.signal(signal.SIGTERM)
-        code = front.process.wait(_STOP_SECONDS)
+        code = front.process.wait(_EXIT_TIMEOUT_SECONDS)
         if code != 0:
             self.problems.append(f"{front.name} ended with {code} after SIGTERM")
         front.start()
@@ -90,15 +92,15 @@
         time.sleep(seconds)
         front.signal(signal.SIGCONT)
 
-    def _hang_up(self, front, seconds):
+    def _reload(self, front, seconds):
         front.signal(signal.SIGHUP)
 
-    def _cut(self, front, seconds, cut):
+    def _disturb_link(self, front, seconds, cut):
         cut()
         time.sleep(seconds)
         front.relay.heal()
 
-    def _silence(self, front):
+    def _create_one_way_block(self, front):
         return lambda: front.relay.block(self._site.random.choice(["to_server", "to_client"]))
 
     def _change_store(self, seconds, **changes):
@@ -122,12 +124,12 @@
     def _replace_server(self, front, seconds):
         self._site.replace_server(self._site.random.choice(self._site.services))
 
-    def _name_version(self, front, seconds):
-        self._version += 1
-        content = {"model": "m", "version": self._version}
+    def _publish_version(self, front, seconds):
+        self._version_number += 1
+        content = {"model": "m", "version": self._version_number}
         self._site.store.put("keyed.op", "version/m", content)
 
-    def _publish(self, front, seconds):
-        self._configuration += 1
-        content = platform_messages.describe_configuration(self._configuration)
+    def _publish_configuration(self, front, seconds):
+        self._configuration_number += 1
+        content = platform_messages.describe_configuration(self._configuration_number)
         self._site.store.put("keyed.op", "config", content)
--- a/features/front_load.py
+++ b/features/front_load.py
@@ -8,13 +8,13 @@
 import platform_messages
 import platform_standin
 
-ITEMS = 4
-_TRIES = 4
+ITEMS_PER_BATCH = 4
+_MAX_ATTEMPTS = 4
 _STEP_SECONDS = 1.5
 _FATAL_PAUSE_SECONDS = 0.4
 
 
-class Callers(threading.Thread):
+class NonIdempotentCaller(threading.Thread):
     """Calls that may not be repeated, with what each was told."""
 
     def __init__(self, site, number):
@@ -22,25 +22,25 @@
         self._site = site
         self._number = number
         self.stopping = threading.Event()
-        self.told = collections.defaultdict(list)
+        self.statuses_by_request = collections.defaultdict(list)
 
     def run(self):
         count = 0
         while not self.stopping.wait(0.03):
             count += 1
             request_id = f"charge-{self._number}-{count}"
-            for _ in range(_TRIES):
+            for _ in range(_MAX_ATTEMPTS):
                 body = request_id.encode()
                 answer = self._site.pick_front().try_ask("POST", "/charges/a", body, request_id)
                 status = answer[0] if answer else 0
                 is_whole = status != 200 or answer[2] == b"answer to " + body
-                self.told[request_id].append(status if is_whole else "wrong body")
+                self.statuses_by_request[request_id].append(status if is_whole else "wrong body")
                 if status != 503:
                     break
                 time.sleep(float(answer[1].get("Retry-After", "0")))
 
 
-class FatalCaller(threading.Thread):
+class CrashingCaller(threading.Thread):
     """Sends one request that ends its servers, again and again, each time with a new id."""
 
     def __init__(self, site):
@@ -56,15 +56,15 @@
             number += 1
 
 
-class Trainer(threading.Thread):
+class BatchTrainer(threading.Thread):
     """Submits batches and reads them from any front."""
 
     def __init__(self, site):
         super().__init__(daemon=True)
         self._site = site
         self.stopping = threading.Event()
-        self.accepted = []
-        self.read = collections.defaultdict(list)
+        self.accepted_batches = []
+        self.results_by_batch = collections.defaultdict(list)
         self.problems = []
 
     def run(self):
@@ -72,35 +72,37 @@
         while not self.stopping.is_set():
             self.submit(f"batch-{step}", step)
             step += 1
-            until = time.monotonic() + _STEP_SECONDS
-            while time.monotonic() < until:
-                for name in self.accepted[-3:]:
-                    self.read_on(self._site.pick_front(), name, len(self.read[name]))
+            deadline = time.monotonic() + _STEP_SECONDS
+            while time.monotonic() < deadline:
+                for name in self.accepted_batches[-3:]:
+                    self.read_results(
+                        self._site.pick_front(), name, len(self.results_by_batch[name])
+                    )
                 time.sleep(0.1)
 
     def submit(self, name, step):
-        for _ in range(_TRIES * 5):
+        for _ in range(_MAX_ATTEMPTS * 5):
             front = self._site.pick_front()
             answer = front.try_ask("POST", "/items/batch", describe_batch(name, step), name)
             if answer and answer[0] == 202:
-                self.accepted.append(name)
+                self.accepted_batches.append(name)
                 return
             if self.stopping.wait(0.2):
                 return
 
-    def read_whole(self, front, name):
+    def read_from_start(self, front, name):
         """Read a batch from the start, in several answers if need be; tell whether all came."""
         after = 0
-        while after < ITEMS:
-            count = self.read_on(front, name, after)
+        while after < ITEMS_PER_BATCH:
+            count = self.read_results(front, name, after)
             if not count:
                 return False
             after += count
         return True
 
-    def read_on(self, front, name, after):
+    def read_results(self, front, name, after):
         """Read results from a position on, compare what was read before; return how many."""
-        known = self.read[name]
+        earlier = self.results_by_batch[name]
         answer = front.try_ask("GET", f"/api/lots/{name}?after={after}")
         if answer is None or answer[0] == 503:
             return 0
@@ -108,20 +110,22 @@
             self.problems.append(f"{name} at {front.name}: {answer[0]} after it was accepted")
             return 0
         listed = json.loads(answer[2])
-        for place, result in enumerate(listed["results"], after):
-            if place < len(known):
-                if known[place] != result:
-                    self.problems.append(f"{name}[{place}] changed: {known[place]} {result}")
+        for position, result in enumerate(listed["results"], after):
+            if position < len(earlier):
+                if earlier[position] != result:
+                    self.problems.append(
+                        f"{name}[{position}] changed: {earlier[position]} {result}"
+                    )
             else:
-                known.append(result)
+                earlier.append(result)
         return len(listed["results"])
 
 
-def list_items(name):
+def list_item_ids(name):
     """Return the names of a batch's items."""
-    return [f"{name}-{number}" for number in range(ITEMS)]
+    return [f"{name}-{number}" for number in range(ITEMS_PER_BATCH)]
 
 
 def describe_batch(name, step):
     """Return the body of a batch."""
-    return platform_messages.describe_batch(list_items(name), step)
+    return platform_messages.describe_batch(list_item_ids(name), step)
--- a/features/front_programs.py
+++ b/features/front_programs.py
@@ -20,7 +20,7 @@
 bounds.status_s = 120
 platform = {{ address = "{store}", parts = 4, retention_s = 300 }}
 """
-_DUTIES = """
+_USAGE_REPORT_SETTINGS = """
 cloud = {{ address = "{address}", duties = ["usage_report"] }}
 bounds.report_window_s = {window}
 bounds.usage_late_s = 10
@@ -30,9 +30,9 @@
 _PORTS = range(20_000, 32_000)
 """Below those that the system gives to whoever asks for any: a program that is started again
 must find its port still free, while other tests open servers all the time."""
-_ASK_SECONDS = 10.0
-_KILL_SECONDS = 12.0
-_LAST_CHARACTERS = 1500
+_REQUEST_TIMEOUT_SECONDS = 10.0
+_EXIT_TIMEOUT_SECONDS = 12.0
+_OUTPUT_TAIL_CHARACTERS = 1500
 _LOOPBACK = "127.0.0.1"
 
 
@@ -54,7 +54,7 @@
 
 def describe_duties(address, window_seconds):
     """Return what the settings file says more where use is to be reported."""
-    return _DUTIES.format(address=address, window=window_seconds)
+    return _USAGE_REPORT_SETTINGS.format(address=address, window=window_seconds)
 
 
 def start_front(folder, settings, output, metrics_port, changes=()):
@@ -90,7 +90,7 @@
     def ask(self, method, path, body=b"", request_id="r1", port=None, headers=()):
         """Return status, headers and body of an answer; raise where no whole one came."""
         connection = http.client.HTTPConnection(
-            _LOOPBACK, port or self.front, timeout=_ASK_SECONDS
+            _LOOPBACK, port or self.front, timeout=_REQUEST_TIMEOUT_SECONDS
         )
         sent = {
             "Host": "h.example",
@@ -112,7 +112,7 @@
 
     def describe(self):
         """Return whether it runs, whether it is ready, and its last lines."""
-        lines = self.output.read_text()[-_LAST_CHARACTERS:]
+        lines = self.output.read_text()[-_OUTPUT_TAIL_CHARACTERS:]
         return f"{self.name}: code {self.process.poll()}, ready {self.is_ready()}\n{lines}"
 
     def signal(self, number):
@@ -123,4 +123,4 @@
         """Kill it, paused or not."""
         if self.process.poll() is None:
             self.process.kill()
-        self.process.wait(_KILL_SECONDS)
+        self.process.wait(_EXIT_TIMEOUT_SECONDS)
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -11,11 +11,11 @@
 import platform_standin
 from oleander_standins import relay
 
-_START_SECONDS = 20.0
-_PAUSE_SECONDS = 0.05
+_READY_TIMEOUT_SECONDS = 20.0
+_POLL_SECONDS = 0.05
 _RESTART_SECONDS = 0.4
 """From the end of a server under a fatal request to its next start."""
-_INTERPRETER_SECONDS = 0.2
+_INTERPRETER_START_SECONDS = 0.2
 """Before the interpreter has read the program's first line, no program can take a signal."""
 
 
@@ -28,7 +28,7 @@
 
     def start(self):
         super().start()
-        time.sleep(_INTERPRETER_SECONDS)
+        time.sleep(_INTERPRETER_START_SECONDS)
 
     def try_ask(self, *arguments, **named):
         """Return status, headers and body, or nothing where no whole answer came."""
@@ -53,7 +53,7 @@
         self.store.put("keyed.op", "config", platform_messages.describe_configuration(3))
         self._lock = threading.Lock()
         for sampler in (*self.engines, *self.services):
-            sampler.on_ended = self._start_later
+            sampler.on_ended = self._schedule_restart
             self.register(sampler)
         self._folder = tempfile.TemporaryDirectory()
         names = [f"front-{n}" for n in range(fronts)]
@@ -73,12 +73,12 @@
         sampler.name = f"{sampler.name.split('+')[0]}+{self.random.randrange(10**6)}"
         self.register(sampler)
 
-    def _start_later(self, sampler):
-        timer = threading.Timer(_RESTART_SECONDS, self._start_again, (sampler,))
+    def _schedule_restart(self, sampler):
+        timer = threading.Timer(_RESTART_SECONDS, self._restart_server, (sampler,))
         timer.daemon = True
         timer.start()
 
-    def _start_again(self, sampler):
+    def _restart_server(self, sampler):
         sampler.start_again()
         self.replace_server(sampler)
 
@@ -87,10 +87,10 @@
             return self.random.choice(self.fronts)
 
     def await_ready(self):
-        until = time.monotonic() + _START_SECONDS
+        deadline = time.monotonic() + _READY_TIMEOUT_SECONDS
         while not all(front.is_ready() for front in self.fronts):
-            assert time.monotonic() < until, [front.describe() for front in self.fronts]
-            time.sleep(_PAUSE_SECONDS)
+            assert time.monotonic() < deadline, [front.describe() for front in self.fronts]
+            time.sleep(_POLL_SECONDS)
 
     def read_logs(self):
         return "".join(front.output.read_text() for front in self.fronts)
@@ -98,6 +98,6 @@
     def stop(self):
         for front in self.fronts:
             front.end()
-        for stand in (self.store, *self.engines, *self.services):
-            stand.stop()
+        for stand_in in (self.store, *self.engines, *self.services):
+            stand_in.stop()
         self._folder.cleanup()
--- a/features/front_soak.py
+++ b/features/front_soak.py
@@ -13,48 +13,54 @@
 import front_site
 import platform_standin
 
-_CALLERS = 4
+_CALLER_COUNT = 4
 _SETTLE_SECONDS = 7.0
-_MOST_ENDS = 3
-_CONTACT_SECONDS = 3.0
-_MOST_LOGGED = 3000
+_MAX_CRASHES = 3
+_CRASH_REPORT_SECONDS = 3.0
+_MAX_LINE_CHARACTERS = 3000
 """Characters of a line with a traceback."""
-_FINISH_SECONDS = 40.0
+_READ_BACK_SECONDS = 40.0
 
 
 def run(seed, seconds, fronts=3):
     """Return the counts and the problems of one soak."""
     site = front_site.FrontSite(seed, fronts)
     try:
-        callers = [front_load.Callers(site, number) for number in range(_CALLERS)]
-        trainer = front_load.Trainer(site)
-        fatal = front_load.FatalCaller(site)
-        for worker in (*callers, trainer, fatal):
+        callers = [front_load.NonIdempotentCaller(site, number) for number in range(_CALLER_COUNT)]
+        trainer = front_load.BatchTrainer(site)
+        crashing_caller = front_load.CrashingCaller(site)
+        for worker in (*callers, trainer, crashing_caller):
             worker.start()
         faults = front_faults.Faults(site)
         faults.run(seconds)
-        calm_at = time.monotonic()
+        faults_ended_at = time.monotonic()
         time.sleep(_SETTLE_SECONDS)
-        for worker in (*callers, trainer, fatal):
+        for worker in (*callers, trainer, crashing_caller):
             worker.stopping.set()
-        for worker in (*callers, trainer, fatal):
+        for worker in (*callers, trainer, crashing_caller):
             worker.join()
-        problems = faults.problems + _finish(site, trainer)
-        problems += _check_charges(site, callers) + _check_orders(site) + _check_logs(site)
-        problems += _check_ends(site, calm_at)
-        told = collections.Counter(
-            str(statuses[-1]) for caller in callers for statuses in caller.told.values()
+        problems = faults.problems + _check_batches(site, trainer)
+        problems += _check_calls(site, callers) + _check_weight_orders(site) + _check_logs(site)
+        problems += _check_server_crashes(site, faults_ended_at)
+        last_statuses = collections.Counter(
+            str(statuses[-1])
+            for caller in callers
+            for statuses in caller.statuses_by_request.values()
         )
         ended = sum(len(service.ended_at) for service in site.services)
-        counts = {"calls": dict(told), "batches": len(trainer.accepted), "ended": ended}
+        counts = {
+            "calls": dict(last_statuses),
+            "batches": len(trainer.accepted_batches),
+            "ended": ended,
+        }
         if problems:
-            problems.append(f"logs: {_keep_logs(site, seed)}")
+            problems.append(f"logs: {_save_logs(site, seed)}")
         return counts | {"faults": dict(faults.counts)}, problems
     finally:
         site.stop()
 
 
-def _keep_logs(site, seed):
+def _save_logs(site, seed):
     """Write the logs of all programs to a file that stays; return its path."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     path = folder / "logs"
@@ -62,33 +68,33 @@
     return path
 
 
-def _finish(site, trainer):
+def _check_batches(site, trainer):
     """Read every accepted batch at every front, from the start."""
-    until = time.monotonic() + _FINISH_SECONDS
+    deadline = time.monotonic() + _READ_BACK_SECONDS
     site.await_ready()
     for front in site.fronts:
-        for name in trainer.accepted:
-            while not trainer.read_whole(front, name):
-                if time.monotonic() > until:
-                    held = len(trainer.read[name])
+        for name in trainer.accepted_batches:
+            while not trainer.read_from_start(front, name):
+                if time.monotonic() > deadline:
+                    read_count = len(trainer.results_by_batch[name])
                     answer = front.try_ask("GET", f"/api/lots/{name}?after=0")
-                    problem = (
-                        f"{name} at {front.name}: {held} of {front_load.ITEMS}, then {answer}"
-                    )
+                    problem = f"{name} at {front.name}: {read_count} of {front_load.ITEMS_PER_BATCH}, then {answer}"
                     return [*trainer.problems, problem]
                 time.sleep(0.1)
     return trainer.problems + [
-        problem for name in trainer.accepted for problem in _check_batch(trainer.read[name], name)
+        problem
+        for name in trainer.accepted_batches
+        for problem in _check_batch(trainer.results_by_batch[name], name)
     ]
 
 
 def _check_batch(results, name):
-    whole = {
+    expected = {
         item_id: "\n".join(f"{item_id}.{event}" for event in range(1, platform_standin.EVENTS + 1))
-        for item_id in front_load.list_items(name)
+        for item_id in front_load.list_item_ids(name)
     }
     found = {result["id"]: result["output"] for result in results}
-    if len(results) != front_load.ITEMS or found != whole:
+    if len(results) != front_load.ITEMS_PER_BATCH or found != expected:
         return [f"{name}: {results}"]
     wrong = [
         r for r in results if r["score"] != f"stamp-score-{r['id']}" or r["state"] != "completed"
@@ -96,23 +102,23 @@
     return [f"{name}: {wrong}"] if wrong else []
 
 
-def _check_charges(site, callers):
-    ran = collections.Counter(seen[0] for service in site.services for seen in service.seen)
+def _check_calls(site, callers):
+    run_counts = collections.Counter(seen[0] for service in site.services for seen in service.seen)
     problems = []
     for caller in callers:
-        for request_id, statuses in caller.told.items():
-            if ran[request_id] > 1:
-                problems.append(f"{request_id} ran {ran[request_id]} times: {statuses}")
-            if statuses[-1] == 200 and not ran[request_id]:
+        for request_id, statuses in caller.statuses_by_request.items():
+            if run_counts[request_id] > 1:
+                problems.append(f"{request_id} ran {run_counts[request_id]} times: {statuses}")
+            if statuses[-1] == 200 and not run_counts[request_id]:
                 problems.append(f"{request_id} was answered and never ran")
-            if set(statuses) == {503} and ran[request_id]:
+            if set(statuses) == {503} and run_counts[request_id]:
                 problems.append(f"{request_id} was refused and ran: {statuses}")
             if "wrong body" in statuses:
                 problems.append(f"{request_id} got another's answer")
     return problems
 
 
-def _check_orders(site):
+def _check_weight_orders(site):
     problems = []
     for engine in site.engines:
         numbers = [order["fencing_token"] for order in engine.orders]
@@ -124,24 +130,24 @@
     return problems
 
 
-def _check_ends(site, calm_at):
+def _check_server_crashes(site, faults_ended_at):
     """Look for servers that still end under the fatal request once all programs can know of it."""
-    ends = sorted(at for service in site.services for at in service.ended_at)
-    if not ends:
+    crash_times = sorted(at for service in site.services for at in service.ended_at)
+    if not crash_times:
         return ["the fatal request reached no server: nothing was shown"]
-    if len(ends) < _MOST_ENDS:
+    if len(crash_times) < _MAX_CRASHES:
         return []
-    known_at = max(ends[_MOST_ENDS - 1], calm_at) + _CONTACT_SECONDS
-    later = [at for at in ends if at > known_at]
-    if len(later) <= _MOST_ENDS:
+    known_at = max(crash_times[_MAX_CRASHES - 1], faults_ended_at) + _CRASH_REPORT_SECONDS
+    later = [at for at in crash_times if at > known_at]
+    if len(later) <= _MAX_CRASHES:
         return []
-    return [f"{len(ends)} servers ended under the fatal request, {len(later)} of them late"]
+    return [f"{len(crash_times)} servers ended under the fatal request, {len(later)} of them late"]
 
 
 def _check_logs(site):
     marks = ("invariant-broken", "task-failed", "Traceback")
     lines = site.read_logs().splitlines()
-    return [line[:_MOST_LOGGED] for line in lines if any(mark in line for mark in marks)]
+    return [line[:_MAX_LINE_CHARACTERS] for line in lines if any(mark in line for mark in marks)]
 
 
 def main():
--- a/features/run.py
+++ b/features/run.py
@@ -17,11 +17,11 @@
 _PASSED = "passed"
 _SKIPPED = ("skipped", "untested")
 _FAILED = ("failed", "error")
-_MESSAGE_CHARACTERS = 4000
+_MAX_MESSAGE_CHARACTERS = 4000
 """Enough for a traceback and the last lines of a program's log."""
 
 
-class Outcome:
+class FeatureResult:
     """What one feature's scenarios came to."""
 
     __slots__ = ("counts", "failed", "messages", "name", "output")
@@ -41,18 +41,18 @@
         command = [sys.executable, "-m", "behave", "--no-capture", "--format", "json"]
         command += ["--outfile", str(report), "--format", "progress", str(path)]
         try:
-            ended = subprocess.run(
+            completed = subprocess.run(
                 command, cwd=_ROOT, capture_output=True, text=True, timeout=_FEATURE_SECONDS
             )
-            output = ended.stdout + ended.stderr
+            output = completed.stdout + completed.stderr
         except subprocess.TimeoutExpired as error:
             output = f"{path.name} took longer than {_FEATURE_SECONDS} s: {error.output}"
-        outcome = Outcome(path.name, output)
-        count_scenarios(outcome, report)
-        return outcome
+        result = FeatureResult(path.name, output)
+        count_scenarios(result, report)
+        return result
 
 
-def count_scenarios(outcome, report):
+def count_scenarios(feature_result, report):
     """Count from behave's own report; a feature without one has failed as a whole."""
     try:
         features = json.loads(report.read_text())
@@ -61,15 +61,17 @@
     elements = [item for feature in features for item in feature.get("elements", [])]
     scenarios = [item for item in elements if item["type"] != "background"]
     if not scenarios:
-        outcome.counts["failed"] += 1
-        outcome.failed.append(outcome.name)
+        feature_result.counts["failed"] += 1
+        feature_result.failed.append(feature_result.name)
     for item in scenarios:
         status = item.get("status", "failed")
         kind = "skipped" if status in _SKIPPED else _PASSED if status == _PASSED else "failed"
-        outcome.counts[kind] += 1
+        feature_result.counts[kind] += 1
         if kind == "failed":
-            outcome.failed.append(item["location"])
-            outcome.messages += [f"{item['location']}: {text}" for text in list_messages(item)]
+            feature_result.failed.append(item["location"])
+            feature_result.messages += [
+                f"{item['location']}: {text}" for text in list_messages(item)
+            ]
 
 
 def list_messages(scenario):
@@ -77,9 +79,9 @@
     for step in scenario.get("steps", []):
         result = step.get("result", {})
         if result.get("status") in _FAILED:
-            said = result.get("error_message", "")
-            text = "\n".join(said) if isinstance(said, list) else said
-            yield f"{step['name']}\n{text}"[-_MESSAGE_CHARACTERS:]
+            error_message = result.get("error_message", "")
+            text = "\n".join(error_message) if isinstance(error_message, list) else error_message
+            yield f"{step['name']}\n{text}"[-_MAX_MESSAGE_CHARACTERS:]
 
 
 def read_known_red():
@@ -97,12 +99,12 @@
     total = collections.Counter()
     failed = []
     with concurrent.futures.ThreadPoolExecutor(_WORKERS) as pool:
-        for outcome in pool.map(run_feature, paths):
-            total += outcome.counts
-            failed += outcome.failed
-            print(f"{outcome.name}: {dict(outcome.counts)}", flush=True)
-            if outcome.failed:
-                print(outcome.output, *outcome.messages, sep="\n", flush=True)
+        for result in pool.map(run_feature, paths):
+            total += result.counts
+            failed += result.failed
+            print(f"{result.name}: {dict(result.counts)}", flush=True)
+            if result.failed:
+                print(result.output, *result.messages, sep="\n", flush=True)
     known = read_known_red()
     unexpected = [place for place in failed if place not in known]
     for place in failed:
--- a/features/soak_faults.py
+++ b/features/soak_faults.py
@@ -35,15 +35,25 @@
             kind.LOG_REFUSES: lambda fault: self._change_settings("log", fault, outage="refuse"),
             kind.LOG_HANGS: lambda fault: self._change_settings("log", fault, outage="hang"),
             kind.LOG_SLOW: lambda fault: self._change_settings("log", fault, slow_ms=300),
-            kind.LOG_LOSES_ANSWERS: lambda fault: self._change_settings("log", fault, lose_after=3),
-            kind.LOG_LOSES_APPENDS: lambda fault: self._change_settings("log", fault, lose_before=3),
-            kind.LOG_APPENDS_LATE: lambda fault: self._change_settings("log", fault, late=2, late_ms=1500),
+            kind.LOG_LOSES_ANSWERS: lambda fault: self._change_settings(
+                "log", fault, lose_after=3
+            ),
+            kind.LOG_LOSES_APPENDS: lambda fault: self._change_settings(
+                "log", fault, lose_before=3
+            ),
+            kind.LOG_APPENDS_LATE: lambda fault: self._change_settings(
+                "log", fault, late=2, late_ms=1500
+            ),
             kind.SERVICE_LOSES_ANSWERS: lambda fault: self._change_service(fault, lose_after=2),
             kind.SERVICE_HANGS: lambda fault: self._change_service(fault, hang=True),
-            kind.WEIGHTS_DOWN: lambda fault: self._change_settings("weights", fault, outage="refuse"),
+            kind.WEIGHTS_DOWN: lambda fault: self._change_settings(
+                "weights", fault, outage="refuse"
+            ),
             kind.LOAD_FAILS: lambda fault: self._change_engine(fault, fail_load=1),
             kind.LOAD_ANSWER_LOST: lambda fault: self._change_engine(fault, lose_load_answer=1),
-            kind.LOAD_LATE: lambda fault: self._change_engine(fault, late_load=1, late_load_ms=800),
+            kind.LOAD_LATE: lambda fault: self._change_engine(
+                fault, late_load=1, late_load_ms=800
+            ),
             kind.ENGINE_SLOW: lambda fault: self._change_engine(fault, slow_factor=5.0),
             kind.CONCURRENT_PUBLISH: self._publish_concurrently,
         }
@@ -91,7 +101,9 @@
         return self._replace_process(fault, self._deployed.cluster.kill)
 
     def _restart_gracefully(self, fault):
-        return self._replace_process(fault, lambda name: self._deployed.cluster.terminate(name, 60))
+        return self._replace_process(
+            fault, lambda name: self._deployed.cluster.terminate(name, 60)
+        )
 
     def _replace_process(self, fault, stop_process):
         name = self._reserve_process(self._list_processes(), fault)
@@ -160,10 +172,14 @@
 
     def _change_service(self, fault, **settings):
         services = [host.server_name for host in self._hosts if host.kind == "service"]
-        return self._change_settings(services[fault.target_index % len(services)], fault, **settings)
+        return self._change_settings(
+            services[fault.target_index % len(services)], fault, **settings
+        )
 
     def _change_engine(self, fault, **settings):
-        name = self._reserve_process([h.server_name for h in self._hosts if h.kind == "engine"], fault)
+        name = self._reserve_process(
+            [h.server_name for h in self._hosts if h.kind == "engine"], fault
+        )
         if name is None:
             return False
         try:
--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -72,7 +72,9 @@
         if source.random() < 0.5:
             return None
         try:
-            return self._deployed.issue_key(source.choice(self._deployed.entries), *_BOOKING_OPERATION)
+            return self._deployed.issue_key(
+                source.choice(self._deployed.entries), *_BOOKING_OPERATION
+            )
         except (OSError, http.client.HTTPException, KeyError, AssertionError):
             return None
 
@@ -132,7 +134,7 @@
         return problems
 
     def count_outcomes(self):
-        return collections.Counter(history.last for history in self.histories)
+        return collections.Counter(history.last_outcome for history in self.histories)
 
 
 class RestartedTrainer:
