--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Behave hooks: nothing that a scenario starts outlives it, and errors are printed."""
+"""Behave hooks: stop what a scenario or feature started, and print errors and logs of failures."""
 
 import behave.model
 
--- a/features/front_faults.py
+++ b/features/front_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of several front programs, their store and their servers."""
+"""Apply random faults to front programs, their store and their servers."""
 
 import collections
 import signal
@@ -10,11 +10,14 @@
 _MAX_PAUSE_SECONDS = 1.2
 _MAX_FAULT_SECONDS = 2.5
 _EXIT_TIMEOUT_SECONDS = 12.0
-"""The programs are told to end within 8 s; the rest is for a busy machine."""
+"""The settings allow 8 s for a graceful exit; the rest is for a busy machine."""
 
 
 class Faults:
-    """Draws faults and mends each after its time; several overlap."""
+    """Draw faults and undo each after its duration; faults of different targets overlap.
+
+    `counts` has the number of applied faults by kind, `problems` the faults that raised an error.
+    """
 
     def __init__(self, site):
         self._site = site
@@ -46,6 +49,7 @@
         self._configuration_number = 3
 
     def run(self, seconds):
+        """Start faults at random intervals for that time; return when all are undone."""
         deadline = time.monotonic() + seconds
         source = self._site.random
         while time.monotonic() < deadline:
@@ -60,6 +64,7 @@
             thread.join()
 
     def _apply(self, kind, front, seconds):
+        """Apply and undo a fault, or do nothing if its target has another fault."""
         target = "store" if kind.startswith("store") else front.name
         with self._lock:
             if target in self._faulty_targets:
@@ -84,7 +89,7 @@
         front.signal(signal.SIGTERM)
         code = front.process.wait(_EXIT_TIMEOUT_SECONDS)
         if code != 0:
-            self.problems.append(f"{front.name} ended with {code} after SIGTERM")
+            self.problems.append(f"{front.name} exited with code {code} after SIGTERM")
         front.start()
 
     def _freeze(self, front, seconds):
@@ -93,6 +98,7 @@
         front.signal(signal.SIGCONT)
 
     def _reload(self, front, seconds):
+        """Send SIGHUP, upon which the program reloads its settings."""
         front.signal(signal.SIGHUP)
 
     def _disturb_link(self, front, seconds, cut):
@@ -101,9 +107,11 @@
         front.relay.heal()
 
     def _create_one_way_block(self, front):
+        """Return a function that blocks the link to the store in a random direction."""
         return lambda: front.relay.block(self._site.random.choice(["to_server", "to_client"]))
 
     def _change_store(self, seconds, **changes):
+        """Set attributes of the store's stand-in and restore them afterwards."""
         before = {name: getattr(self._site.store, name) for name in changes}
         for name, value in changes.items():
             setattr(self._site.store, name, value)
@@ -118,6 +126,7 @@
         service.event_seconds = 0.01
 
     def _lose_answers(self, front, seconds):
+        """Make each server drop its next 3 answers after it has run the requests."""
         for sampler in (*self._site.services, *self._site.engines):
             sampler.lost_answers = 3
 
--- a/features/front_load.py
+++ b/features/front_load.py
@@ -1,4 +1,4 @@
-"""Callers and a trainer of several front programs, with what each of them was told."""
+"""Load for the front soak: callers and a trainer, with all answers that they got recorded."""
 
 import collections
 import json
@@ -10,12 +10,16 @@
 
 ITEMS_PER_BATCH = 4
 _MAX_ATTEMPTS = 4
+"""Sends of one call while it is refused; a batch is submitted up to five times as often."""
 _STEP_SECONDS = 1.5
 _FATAL_PAUSE_SECONDS = 0.4
 
 
 class NonIdempotentCaller(threading.Thread):
-    """Calls that may not be repeated, with what each was told."""
+    """Send requests that must not run twice, and record the statuses of each.
+
+    Status 0 means no complete answer. Only a 503 answer, which says that nothing ran, is retried.
+    """
 
     def __init__(self, site, number):
         super().__init__(daemon=True)
@@ -41,7 +45,7 @@
 
 
 class CrashingCaller(threading.Thread):
-    """Sends one request that ends its servers, again and again, each time with a new id."""
+    """Repeatedly send a request that crashes the server running it, each time with a new id."""
 
     def __init__(self, site):
         super().__init__(daemon=True)
@@ -57,7 +61,7 @@
 
 
 class BatchTrainer(threading.Thread):
-    """Submits batches and reads them from any front."""
+    """Submit one batch for each step, and read the results from random programs."""
 
     def __init__(self, site):
         super().__init__(daemon=True)
@@ -81,6 +85,7 @@
                 time.sleep(0.1)
 
     def submit(self, name, step):
+        """Submit a batch until it is accepted, the attempts are used up or the soak stops."""
         for _ in range(_MAX_ATTEMPTS * 5):
             front = self._site.pick_front()
             answer = front.try_ask("POST", "/items/batch", describe_batch(name, step), name)
@@ -91,7 +96,7 @@
                 return
 
     def read_from_start(self, front, name):
-        """Read a batch from the start, in several answers if need be; tell whether all came."""
+        """Read a batch from the start, in one or more answers; return whether it is complete."""
         after = 0
         while after < ITEMS_PER_BATCH:
             count = self.read_results(front, name, after)
@@ -101,13 +106,18 @@
         return True
 
     def read_results(self, front, name, after):
-        """Read results from a position on, compare what was read before; return how many."""
+        """Read results from a position on; return their number.
+
+        Record a problem if the batch is unknown or a position changed since an earlier read.
+        """
         earlier = self.results_by_batch[name]
         answer = front.try_ask("GET", f"/api/lots/{name}?after={after}")
         if answer is None or answer[0] == 503:
             return 0
         if answer[0] != 200:
-            self.problems.append(f"{name} at {front.name}: {answer[0]} after it was accepted")
+            self.problems.append(
+                f"{name} at {front.name}: status {answer[0]} after it was accepted"
+            )
             return 0
         listed = json.loads(answer[2])
         for position, result in enumerate(listed["results"], after):
@@ -122,10 +132,10 @@
 
 
 def list_item_ids(name):
-    """Return the names of a batch's items."""
+    """Return the ids of a batch's items."""
     return [f"{name}-{number}" for number in range(ITEMS_PER_BATCH)]
 
 
 def describe_batch(name, step):
-    """Return the body of a batch."""
+    """Return the request body that submits a batch for a step."""
     return platform_messages.describe_batch(list_item_ids(name), step)
--- a/features/front_programs.py
+++ b/features/front_programs.py
@@ -1,4 +1,4 @@
-"""Starts the deployed front program as a process, and asks it."""
+"""Start the deployed front program as a process and send requests to it."""
 
 import http.client
 import os
@@ -28,8 +28,8 @@
 
 
 _PORTS = range(20_000, 32_000)
-"""Below those that the system gives to whoever asks for any: a program that is started again
-must find its port still free, while other tests open servers all the time."""
+"""Below the ephemeral ports: a restarted program needs its port again, and the system could have
+given an ephemeral one to a server of another test."""
 _REQUEST_TIMEOUT_SECONDS = 10.0
 _EXIT_TIMEOUT_SECONDS = 12.0
 _OUTPUT_TAIL_CHARACTERS = 1500
@@ -37,7 +37,7 @@
 
 
 def find_port():
-    """Return a port that was free a moment ago."""
+    """Return a random port that is free now; another process may still take it before its use."""
     while True:
         port = random.SystemRandom().choice(_PORTS)
         try:
@@ -48,17 +48,17 @@
 
 
 def describe_settings(name, front, ready, store):
-    """Return the settings file of one program."""
+    """Return the settings file of a program, given its name, ports and store address."""
     return _SETTINGS.format(name=name, front=front, ready=ready, store=store)
 
 
 def describe_duties(address, window_seconds):
-    """Return what the settings file says more where use is to be reported."""
+    """Return the additional lines of the settings file that turn usage reports on."""
     return _USAGE_REPORT_SETTINGS.format(address=address, window=window_seconds)
 
 
 def start_front(folder, settings, output, metrics_port, changes=()):
-    """Start the deployed program with a settings file."""
+    """Start the program and append its output to a file; `changes` are environment variables."""
     path = pathlib.Path(folder) / "local.toml"
     path.write_text(settings)
     environ = os.environ | {"OLEANDERDEAL_BOOT": str(path)} | dict(changes)
@@ -71,7 +71,7 @@
 
 
 class FrontProgram:
-    """One program, which may be ended and started again under the same name."""
+    """A front program that can be ended and started again with the same name and ports."""
 
     def __init__(self, name, folder, store_address, has_metrics=False, more=""):
         self.name = name
@@ -88,7 +88,7 @@
         self.process = start_front(self._folder, self._settings, self.output, self.metrics)
 
     def ask(self, method, path, body=b"", request_id="r1", port=None, headers=()):
-        """Return status, headers and body of an answer; raise where no whole one came."""
+        """Return status, headers and body of an answer; raise if no complete answer arrives."""
         connection = http.client.HTTPConnection(
             _LOOPBACK, port or self.front, timeout=_REQUEST_TIMEOUT_SECONDS
         )
@@ -111,16 +111,17 @@
             return False
 
     def describe(self):
-        """Return whether it runs, whether it is ready, and its last lines."""
+        """Return the exit code or None, the readiness and the end of the output, for a message."""
         lines = self.output.read_text()[-_OUTPUT_TAIL_CHARACTERS:]
         return f"{self.name}: code {self.process.poll()}, ready {self.is_ready()}\n{lines}"
 
     def signal(self, number):
+        """Send a signal unless the program has exited."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def end(self):
-        """Kill it, paused or not."""
+        """Send SIGKILL, which also ends a paused process, and wait for the exit."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait(_EXIT_TIMEOUT_SECONDS)
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -1,4 +1,4 @@
-"""Several front programs on one stand-in of the platform, each behind a relay to the store."""
+"""Run several front programs on a stand-in for the platform, each with a relay to its store."""
 
 import http.client
 import random
@@ -14,13 +14,13 @@
 _READY_TIMEOUT_SECONDS = 20.0
 _POLL_SECONDS = 0.05
 _RESTART_SECONDS = 0.4
-"""From the end of a server under a fatal request to its next start."""
+"""From the crash of a server on a fatal request to its restart."""
 _INTERPRETER_START_SECONDS = 0.2
-"""Before the interpreter has read the program's first line, no program can take a signal."""
+"""Until the interpreter runs the program, a signal ends it instead of reaching its handlers."""
 
 
 class RelayedProgram(front_programs.FrontProgram):
-    """A program that reaches the store through a relay."""
+    """A program that reaches the store through a relay, so that the link can be cut."""
 
     def __init__(self, name, folder, store_address):
         self.relay = relay.Relay(store_address)
@@ -31,7 +31,7 @@
         time.sleep(_INTERPRETER_START_SECONDS)
 
     def try_ask(self, *arguments, **named):
-        """Return status, headers and body, or nothing where no whole answer came."""
+        """Return status, headers and body, or None if no complete answer arrives."""
         try:
             return self.ask(*arguments, **named)
         except (OSError, http.client.HTTPException):
@@ -43,7 +43,7 @@
 
 
 class FrontSite:
-    """The stand-in of the platform, engines, services and programs."""
+    """The stand-in for the platform, the engines and services, and the front programs."""
 
     def __init__(self, seed, fronts=3, services=2, engines=2):
         self.random = random.Random(seed)
@@ -63,12 +63,13 @@
         self.await_ready()
 
     def register(self, sampler):
+        """Publish the address of an engine or service in the store."""
         service = "engines" if sampler in self.engines else "desk"
         content = platform_messages.describe_server(sampler, service)
         self.store.put("keyed.servers", sampler.name, content)
 
     def replace_server(self, sampler):
-        """Give a server another name, as a new start does; old requests to it must not run."""
+        """Give a server a new name, as a restart does; requests to the old name must not run."""
         self.store.put("keyed.servers", sampler.name, {})
         sampler.name = f"{sampler.name.split('+')[0]}+{self.random.randrange(10**6)}"
         self.register(sampler)
@@ -87,6 +88,7 @@
             return self.random.choice(self.fronts)
 
     def await_ready(self):
+        """Wait until all programs are ready; fail with their states after a time limit."""
         deadline = time.monotonic() + _READY_TIMEOUT_SECONDS
         while not all(front.is_ready() for front in self.fronts):
             assert time.monotonic() < deadline, [front.describe() for front in self.fronts]
--- a/features/front_soak.py
+++ b/features/front_soak.py
@@ -1,4 +1,7 @@
-"""Random faults at several front programs under load; then what everyone saw is compared."""
+"""Run several front programs under load and random faults, then check for broken guarantees.
+
+The answers that callers and the trainer got are compared with what the servers received and ran.
+"""
 
 import argparse
 import collections
@@ -15,15 +18,19 @@
 
 _CALLER_COUNT = 4
 _SETTLE_SECONDS = 7.0
+"""Load without faults at the end, so that programs recover from the last faults."""
 _MAX_CRASHES = 3
+"""Servers that a request may crash before it is quarantined."""
 _CRASH_REPORT_SECONDS = 3.0
+"""Time limit for a crash to be known to all programs, from the end of all faults."""
 _MAX_LINE_CHARACTERS = 3000
-"""Characters of a line with a traceback."""
+"""Printed characters of a log line with a violation, which may hold a traceback."""
 _READ_BACK_SECONDS = 40.0
+"""Time limit for reading all accepted batches at all programs."""
 
 
 def run(seed, seconds, fronts=3):
-    """Return the counts and the problems of one soak."""
+    """Run one soak and return its counts and the list of violations, empty if there are none."""
     site = front_site.FrontSite(seed, fronts)
     try:
         callers = [front_load.NonIdempotentCaller(site, number) for number in range(_CALLER_COUNT)]
@@ -61,7 +68,7 @@
 
 
 def _save_logs(site, seed):
-    """Write the logs of all programs to a file that stays; return its path."""
+    """Write the logs of all programs to a file that is not deleted; return its path."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     path = folder / "logs"
     path.write_text(site.read_logs())
@@ -69,16 +76,19 @@
 
 
 def _check_batches(site, trainer):
-    """Read every accepted batch at every front, from the start."""
+    """Read every accepted batch at every program; return the incomplete or wrong ones."""
     deadline = time.monotonic() + _READ_BACK_SECONDS
     site.await_ready()
     for front in site.fronts:
         for name in trainer.accepted_batches:
             while not trainer.read_from_start(front, name):
                 if time.monotonic() > deadline:
-                    read_count = len(trainer.results_by_batch[name])
+                    count = len(trainer.results_by_batch[name])
                     answer = front.try_ask("GET", f"/api/lots/{name}?after=0")
-                    problem = f"{name} at {front.name}: {read_count} of {front_load.ITEMS_PER_BATCH}, then {answer}"
+                    problem = (
+                        f"{name} at {front.name}: read {count} of {front_load.ITEMS_PER_BATCH}"
+                        f" results, then {answer}"
+                    )
                     return [*trainer.problems, problem]
                 time.sleep(0.1)
     return trainer.problems + [
@@ -89,6 +99,7 @@
 
 
 def _check_batch(results, name):
+    """Check that each item is listed once, completed, with its whole text and its own score."""
     expected = {
         item_id: "\n".join(f"{item_id}.{event}" for event in range(1, platform_standin.EVENTS + 1))
         for item_id in front_load.list_item_ids(name)
@@ -103,6 +114,7 @@
 
 
 def _check_calls(site, callers):
+    """Check that no call ran twice, ran after refusals only, or was answered without a run."""
     run_counts = collections.Counter(seen[0] for service in site.services for seen in service.seen)
     problems = []
     for caller in callers:
@@ -110,38 +122,42 @@
             if run_counts[request_id] > 1:
                 problems.append(f"{request_id} ran {run_counts[request_id]} times: {statuses}")
             if statuses[-1] == 200 and not run_counts[request_id]:
-                problems.append(f"{request_id} was answered and never ran")
+                problems.append(f"{request_id} was answered but never ran")
             if set(statuses) == {503} and run_counts[request_id]:
-                problems.append(f"{request_id} was refused and ran: {statuses}")
+                problems.append(f"{request_id} was only refused, but ran: {statuses}")
             if "wrong body" in statuses:
-                problems.append(f"{request_id} got another's answer")
+                problems.append(f"{request_id} got the answer to another request")
     return problems
 
 
 def _check_weight_orders(site):
+    """Check that no engine got a decreasing fencing number or two orders for one version."""
     problems = []
     for engine in site.engines:
         numbers = [order["fencing_token"] for order in engine.orders]
         versions = [order["version"] for order in engine.orders]
         if numbers != sorted(numbers):
-            problems.append(f"{engine.name}: fencing numbers went back: {numbers}")
+            problems.append(f"{engine.name}: fencing numbers decreased: {numbers}")
         if len(set(versions)) != len(versions):
             problems.append(f"{engine.name}: a version was ordered twice: {versions}")
     return problems
 
 
 def _check_server_crashes(site, faults_ended_at):
-    """Look for servers that still end under the fatal request once all programs can know of it."""
+    """Check that the fatal request crashes few servers once all programs can have quarantined it.
+
+    Crashes during the faults are not counted, as programs that are cut off can't learn of them.
+    """
     crash_times = sorted(at for service in site.services for at in service.ended_at)
     if not crash_times:
-        return ["the fatal request reached no server: nothing was shown"]
+        return ["the fatal request reached no server, so its quarantine was not tested"]
     if len(crash_times) < _MAX_CRASHES:
         return []
     known_at = max(crash_times[_MAX_CRASHES - 1], faults_ended_at) + _CRASH_REPORT_SECONDS
     later = [at for at in crash_times if at > known_at]
     if len(later) <= _MAX_CRASHES:
         return []
-    return [f"{len(crash_times)} servers ended under the fatal request, {len(later)} of them late"]
+    return [f"{len(crash_times)} servers crashed on the fatal request, {len(later)} of them late"]
 
 
 def _check_logs(site):
--- a/features/run.py
+++ b/features/run.py
@@ -1,4 +1,4 @@
-"""Run every feature, several at a time, and end with the real counts."""
+"""Run the named features, or all, in parallel, and print the counts of scenarios."""
 
 import argparse
 import collections
@@ -18,11 +18,11 @@
 _SKIPPED = ("skipped", "untested")
 _FAILED = ("failed", "error")
 _MAX_MESSAGE_CHARACTERS = 4000
-"""Enough for a traceback and the last lines of a program's log."""
+"""The end of a step's message: enough for a traceback and the last lines of a program's log."""
 
 
 class FeatureResult:
-    """What one feature's scenarios came to."""
+    """Counts of a feature's scenarios by status, with locations and messages of failures."""
 
     __slots__ = ("counts", "failed", "messages", "name", "output")
 
@@ -35,7 +35,7 @@
 
 
 def run_feature(path):
-    """Run one feature file in a process of its own."""
+    """Run one feature file in a process of its own, with a time limit."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [sys.executable, "-m", "behave", "--no-capture", "--format", "json"]
@@ -53,7 +53,7 @@
 
 
 def count_scenarios(feature_result, report):
-    """Count from behave's own report; a feature without one has failed as a whole."""
+    """Count scenarios in behave's report; a feature without a report counts as one failure."""
     try:
         features = json.loads(report.read_text())
     except (OSError, ValueError):
@@ -75,7 +75,7 @@
 
 
 def list_messages(scenario):
-    """Return the failed steps with what they said: the progress report leaves that out."""
+    """Yield the failed steps with their messages, which behave's progress format leaves out."""
     for step in scenario.get("steps", []):
         result = step.get("result", {})
         if result.get("status") in _FAILED:
@@ -85,7 +85,7 @@
 
 
 def read_known_red():
-    """Return the locations that are known to fail; the first word of each line."""
+    """Return the locations of the known failures: the first word of each line but comments."""
     lines = _KNOWN_RED.read_text().splitlines() if _KNOWN_RED.exists() else []
     return {line.split()[0] for line in lines if line.strip() and not line.startswith("#")}
 
--- a/features/soak.py
+++ b/features/soak.py
@@ -1,4 +1,7 @@
-"""Run a deployment under load and random faults, then check what everyone saw."""
+"""Run a deployment under load and random faults, then check it for broken guarantees.
+
+The answers that callers and trainers got are compared with the runs that the servers counted.
+"""
 
 import argparse
 import collections
@@ -17,8 +20,10 @@
 _EXAMPLE = pathlib.Path(__file__).resolve().parent.parent / "docs" / "examples" / "catania.yaml"
 _FAULTS_PER_SCHEDULE = 20
 _SETTLE_SECONDS = 3.0
+"""Load without faults at the end, so that the last faults are recovered from before the check."""
 _CALLER_COUNT = 6
 _INVARIANT_EVENT = "invariant-broken"
+"""Event of the log line that a program writes when an invariant does not hold."""
 HOSTS = (
     deployment.BackendHost("desk-a", "desk", "service", "a"),
     deployment.BackendHost("desk-b", "desk", "service", "b"),
@@ -37,7 +42,7 @@
 
 
 def start(cluster):
-    """Start everything; each sidecar, engine and entry stands behind a relay."""
+    """Start all processes, each sidecar, engine and entry behind a relay that can be cut."""
     deployed = deployment.Deployment(cluster)
     deployed.add_customer("catania")
     deployed.start_platform()
@@ -57,7 +62,7 @@
 
 
 def run(seed, seconds):
-    """Return the counts and the problems of one soak."""
+    """Run one soak and return its counts and the list of violations, empty if there are none."""
     cluster = support.Cluster()
     try:
         deployed = start(cluster)
@@ -77,6 +82,7 @@
 
 
 def run_faults(deployed, seed, seconds):
+    """Apply one schedule after another, each of a seed of its own, until the time is up."""
     runner = soak_faults.FaultRunner(deployed, HOSTS, seed)
     deadline = time.monotonic() + seconds
     schedule_number = 0
@@ -88,7 +94,7 @@
 
 
 def judge(cluster, bookings, training, watch, faults):
-    """Compare what callers and trainers were told with what the stand-ins counted."""
+    """Return the counts, and the violations found in answers, run counts, samples and logs."""
     runs = collections.Counter()
     for host in HOSTS:
         if host.kind == "service":
--- a/features/soak_faults.py
+++ b/features/soak_faults.py
@@ -1,4 +1,4 @@
-"""Applies a schedule of faults to a deployment, and mends each after its time."""
+"""Apply a schedule of faults to a deployment and undo each fault after its duration."""
 
 import collections
 import json
@@ -10,11 +10,16 @@
 import support
 
 _OPERATORS = ("ada", "grace")
+"""Operators that publish on the same base at once."""
 _JOIN_SECONDS = 30
+"""Time limit for the end of one fault's thread, which includes undoing the fault."""
 
 
 class FaultRunner:
-    """Starts each fault when it is due; faults overlap."""
+    """Start each fault after its delay, in a thread of its own, so that faults overlap.
+
+    `counts` has the number of applied faults by kind, `problems` the faults that raised an error.
+    """
 
     def __init__(self, deployed, hosts, seed):
         self.counts = collections.Counter()
@@ -59,7 +64,7 @@
         }
 
     def run(self, schedule, deadline):
-        """Apply faults in order until all are done or time is up; then mend everything."""
+        """Start faults in order until none is left or the deadline passes; then wait for all."""
         for fault in schedule:
             time.sleep(fault.delay_ms / 1000)
             if time.monotonic() > deadline:
@@ -72,6 +77,7 @@
         self._threads.clear()
 
     def _apply(self, fault):
+        """Apply and undo a fault, and count it unless no process was free for it."""
         try:
             if self._actions[fault.kind](fault):
                 self.counts[fault.kind.value] += 1
@@ -79,7 +85,10 @@
             self.problems.append(f"{fault}: {type(error).__name__} {error}")
 
     def _reserve_process(self, names, fault):
-        """Take a process that no other fault has in hand, so that each is mended by its own."""
+        """Return a process that no other fault affects, or None if there is none.
+
+        Two faults of one process would undo each other: one could restart what the other froze.
+        """
         with self._lock:
             free = [name for name in names if name not in self._reserved]
             if not free:
@@ -106,6 +115,7 @@
         )
 
     def _replace_process(self, fault, stop_process):
+        """Stop a process and start its successor after the fault's duration."""
         name = self._reserve_process(self._list_processes(), fault)
         if name is None:
             return False
@@ -128,6 +138,7 @@
             start_sidecar(self._deployed, name)
 
     def _retarget_relay(self, relay_name, process_name):
+        """Point a relay to the new address of a process that was started again."""
         cluster = self._deployed.cluster
         cluster.find_relay(relay_name).target = cluster.find(process_name).address
 
@@ -149,6 +160,7 @@
         return True
 
     def _block_link(self, fault):
+        """Hold back all bytes in one direction of a link; its connections stay open."""
         relay = self._choose_relay(fault)
         relay.block(self._random.choice(("to_server", "to_client")))
         time.sleep(fault.duration_ms / 1000)
@@ -160,6 +172,7 @@
         return self._deployed.cluster.find_relay(names[fault.target_index % len(names)])
 
     def _change_settings(self, name, fault, **settings):
+        """Set faults at a stand-in for the fault's duration, then set them to no fault."""
         cluster = self._deployed.cluster
         before = {key: self._get_healthy_value(value) for key, value in settings.items()}
         cluster.control(name, **settings)
@@ -168,6 +181,7 @@
         return True
 
     def _get_healthy_value(self, value):
+        """Return the value that means no fault: 1.0 for a factor, else zero, empty or False."""
         return 1.0 if isinstance(value, float) else type(value)()
 
     def _change_service(self, fault, **settings):
@@ -188,7 +202,7 @@
             self._release_process(name)
 
     def _publish_concurrently(self, fault):
-        """Two operators publish a contract on the same base; one of them is told it lost."""
+        """Let two operators publish a contract on the same base, of which one record is void."""
         offset, document = read_contract(self._deployed)
         for operator in _OPERATORS:
             changed = document | {"share_percent": self._random.randint(1, 100)}
@@ -197,7 +211,7 @@
 
 
 def start_sidecar(deployed, name):
-    """Start a sidecar behind its relay, so that the link to it can be cut."""
+    """Start a sidecar and list its relay as its address, so that the link to it can be cut."""
     cluster = deployed.cluster
     engine = f"{name}-engine-front"
     backend_url = cluster.url(engine) if cluster.has(engine) else ""
@@ -211,7 +225,7 @@
 
 
 def read_contract(deployed):
-    """Return the offset and document of the newest contract record of a customer."""
+    """Return the offset and document of the contract in force, or -1 and {} if there is none."""
     url = f"{deployed.cluster.url('log')}/streams/configuration/records?offset=0&limit=1000"
     for _ in range(50):
         try:
@@ -228,7 +242,7 @@
 
 
 def append_contract(deployed, document, base, by):
-    """Append a contract record as an operator's command would."""
+    """Append a contract record as the publish command does; a connection error is ignored."""
     value = {"kind": "contract", "customer": "catania", "base": base, "document": document}
     value |= {"by": by, "nonce": f"{by}-{base}"}
     body = json.dumps({"records": [value]}).encode()
--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -1,4 +1,4 @@
-"""The work that goes on while things fail, and everything that its callers were told."""
+"""Load for the soak: callers, a trainer and a configuration reader, with all answers recorded."""
 
 import collections
 import dataclasses
@@ -13,14 +13,16 @@
 from oleander_standins import trainer
 
 _MAX_ATTEMPTS = 8
+"""Calls with one key before its caller gives up."""
 _CALL_TIMEOUT_MS = 3000
 _MAX_PAUSE_SECONDS = 1.0
 _BOOKING_OPERATION = ("catania", "booking")
+"""Customer and operation of all calls."""
 
 
 @dataclasses.dataclass(slots=True)
 class KeyHistory:
-    """What the caller of one key was told, in order."""
+    """The answers to all calls with one key, in order, each an outcome with its body or reason."""
 
     key: str
     body: bytes
@@ -32,7 +34,7 @@
 
 
 class BookingCallers:
-    """Callers that book, each key until it is done or its tries are used up."""
+    """Threads that call the booking operation, each key until it is done or out of attempts."""
 
     def __init__(self, deployed, seed, callers):
         self.histories = []
@@ -68,7 +70,7 @@
             time.sleep(source.uniform(0, 0.05))
 
     def _choose_key(self, source):
-        """Return an issued key half of the time; nothing where none is issued."""
+        """Return a key issued by an entry in half of the cases, or None otherwise and on errors."""
         if source.random() < 0.5:
             return None
         try:
@@ -86,6 +88,7 @@
             time.sleep(pause)
 
     def _send_attempt(self, history, source):
+        """Call a random entry; return the outcome and the seconds to wait before a retry."""
         entry = source.choice(self._deployed.entries)
         try:
             response = self._deployed.call(
@@ -106,21 +109,26 @@
         try:
             return json.loads(response.body)
         except ValueError:
-            self.problems.append(f"{history.key}: the answer is no JSON: {response.body[:100]}")
+            self.problems.append(f"{history.key}: the answer is not JSON: {response.body[:100]}")
             return {}
 
     def _check_done_answer(self, history, response):
+        """Check that the answer is for this key and body and equals earlier ones for the key."""
         content = self._parse_body(history, response)
         digest = hashlib.sha256(history.body).hexdigest()
         if content.get("key") != history.key or content.get("digest") != digest:
-            self.problems.append(f"{history.key} got another's answer: {content}")
+            self.problems.append(f"{history.key} got the answer to another request: {content}")
         earlier = [detail for outcome, detail in history.answers if outcome == "done"]
         if earlier and earlier[0] != response.body:
-            self.problems.append(f"{history.key} got two answers")
+            self.problems.append(f"{history.key} got two different answers")
         history.answers.append(("done", response.body))
 
     def check_runs(self, runs):
-        """Compare what callers were told with what the services counted."""
+        """Return violations, given how often the services ran each key.
+
+        No key runs twice, a key that is reported done has run, and one that was only ever reported
+        as not-run has not.
+        """
         problems = list(self.problems)
         for history in self.histories:
             count = runs.get(history.key, 0)
@@ -130,7 +138,9 @@
             if "done" in outcomes and count != 1:
                 problems.append(f"{history.key} is done but ran {count} times")
             if outcomes and set(outcomes) == {"not-run"} and count:
-                problems.append(f"{history.key} was told not-run only, but ran: {history.answers}")
+                problems.append(
+                    f"{history.key} was only reported as not-run, but ran: {history.answers}"
+                )
         return problems
 
     def count_outcomes(self):
@@ -138,7 +148,7 @@
 
 
 class RestartedTrainer:
-    """A trainer that is started anew, with a higher incarnation, whenever it has ended."""
+    """A trainer process that is started again, with the next incarnation, each time it ends."""
 
     def __init__(self, deployed, name, staleness_bound, seed):
         self.problems = []
@@ -186,6 +196,7 @@
         return cluster.start("trainer", trainer.__name__, *flags, ready=False)
 
     def _check_run(self, code, lines):
+        """Check the exit code and summary of a run; late samples are allowed under faults."""
         for line in lines:
             content = json.loads(line)
             if content.get("summary"):
@@ -195,11 +206,14 @@
                 self.problems += [f"trainer {self.runs}: {item}" for item in broken]
         has_summary = any(json.loads(line).get("summary") for line in lines)
         if code not in (0, 1, trainer.EXIT_SUPERSEDED) or not has_summary:
-            self.problems.append(f"trainer {self.runs} ended with {code}: {lines}")
+            self.problems.append(f"trainer {self.runs} exited with code {code}: {lines}")
 
 
 class OffsetWatcher:
-    """Reads the configuration offsets of the entries; within one run none ever decreases."""
+    """Read the applied configuration offset of each entry process, which must never decrease.
+
+    A restarted entry has a new address and begins anew.
+    """
 
     def __init__(self, deployed):
         self.problems = []
@@ -232,5 +246,7 @@
         self.reads += 1
         newest = self._highest_offsets.get(address, -1)
         if content["applied_offset"] < newest:
-            self.problems.append(f"{entry} went back from {newest} to {content}")
+            self.problems.append(
+                f"{entry}: the applied offset decreased from {newest} to {content}"
+            )
         self._highest_offsets[address] = max(newest, content["applied_offset"])
--- a/features/soak_schedule.py
+++ b/features/soak_schedule.py
@@ -1,4 +1,4 @@
-"""Draws a schedule of faults: what fails, when, and for how long."""
+"""Draw a random schedule of faults: what fails, when, and for how long."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class FaultKind(enum.Enum):
-    """A way to fail."""
+    """What fails; the value names it in the printed counts."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -33,17 +33,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault; the target is an index into whatever can fail in this way."""
+    """One fault of a schedule."""
 
     kind: FaultKind
     target_index: int
+    """Index, modulo their number, into the processes or relays that can fail this way."""
     delay_ms: int
-    """Since the fault before."""
+    """From the start of the previous fault to the start of this one."""
     duration_ms: int
 
 
 _MAX_EXAMPLES = 5
-"""The first examples are the simplest ones, the same for every seed; the last one is kept."""
+"""Hypothesis draws the simplest examples first, the same for every seed; only the last is used."""
 
 _FAULT_STRATEGY = strategies.builds(
     Fault,
@@ -55,7 +56,7 @@
 
 
 def draw_schedule(seed, count):
-    """Return the same faults for the same seed."""
+    """Return `count` faults, the same ones for the same seed."""
     drawn = []
 
     @hypothesis.seed(seed)
