--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -70,7 +70,7 @@
             time.sleep(source.uniform(0, 0.05))
 
     def _choose_key(self, source):
-        """Return a key issued by an entry in half of the cases, or None otherwise and on errors."""
+        """Return a key issued by an entry in half of the cases, else (or on an error) None."""
         if source.random() < 0.5:
             return None
         try:
