--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,11 +1,11 @@
 """
-Play days of a platform's site with one mechanism off at a time, and print what each is worth.
+Ablation study: replay days of a platform's site with one mechanism disabled at a time.
 
 `python bench/ablation.py BENCH SITE FOLDER [--off hedges,moves] [--days trouble-1,...]`.
 BENCH is the platform's program, SITE a site file, FOLDER a new one outside the temporary folder
-for the clones of this checkout's last commit. Each day and seed is played on all of them; a line
-gives the mean difference in worth with its standard error. Each play leaves its journal entry in
-its clone.
+for the clones of this checkout's last commit. Each day and seed is played on every clone. For each
+mechanism, a line gives the mean of the worth with it minus the worth without it, and the standard
+error. Each play writes its journal entry in its clone.
 """
 
 import argparse
@@ -135,11 +135,11 @@
         "        if order:",
     ),
 }
-"""What to replace in which file so that a mechanism does nothing."""
+"""The file, the text in it and the replacement that disables each mechanism."""
 
 
 def clone_without(source, folder, name, bench):
-    """Clone the checkout, take one mechanism out, and build it."""
+    """Clone the checkout, disable a mechanism in it and build it; `whole` disables none."""
     subprocess.run(["git", "clone", "--quiet", str(source), str(folder)], check=True)
     if name != _WHOLE:
         path, text, replacement = MECHANISMS[name]
@@ -153,7 +153,7 @@
 
 
 def describe(name, whole, without):
-    """Return the line of one mechanism; a positive worth says that it is of use."""
+    """Return the result line of a mechanism; a positive worth means that it helps."""
     pairs = [(a, b) for a, b in zip(whole, without, strict=True) if None not in (a, b)]
     differences = [before - after for before, after in pairs]
     if len(differences) < 2:
@@ -164,7 +164,7 @@
 
 
 def main():
-    """Make the clones, play all days on all of them, print what each mechanism is worth."""
+    """Create the clones, play every day on each of them and print each mechanism's worth."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench")
     parser.add_argument("site", type=pathlib.Path)
--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -1,8 +1,8 @@
 """
-The baseline: a proxy with lagged least-loaded routing, FIFO queues and plain retries.
+The baseline proxy: delayed least-loaded routing, FIFO queues and immediate retries.
 
-It calls the backend servers itself, knows no priorities, shares, deadlines or keys, and tries
-again on any failure. It is no part of the product and runs as `python -m baseline`.
+It calls the backend servers directly, ignores priorities, shares, deadlines and keys, and retries
+after any failure. It is not part of the product and runs as `python -m baseline`.
 """
 
 import collections
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """Where the backend servers are."""
+    """The backend servers and the operations that they serve."""
 
     backends: str = "{}"
     """JSON: group name to `{"kind", "slots", "urls": [...]}`."""
@@ -31,7 +31,7 @@
 
 
 class Queue:
-    """One backend server's slots, given in order of arrival; the wait is bounded by time."""
+    """The slots of a backend server, assigned in order of arrival, with a limit on the wait."""
 
     def __init__(self, url: str, slots: int) -> None:
         self.url = url
@@ -43,11 +43,11 @@
 
     @property
     def load(self) -> int:
-        """How many requests wait or run."""
+        """How many requests are queued or running."""
         return self._load
 
     def enter(self) -> bool:
-        """Wait for a slot; return whether there was one in time."""
+        """Wait for a slot; return False if none became free in time."""
         turn: concurrent.futures.Future[None] = concurrent.futures.Future()
         with self._lock:
             self._load += 1
@@ -63,7 +63,7 @@
             return turn.done()
 
     def leave(self) -> None:
-        """Give the slot to whoever waits longest."""
+        """Pass the slot on to the request that has waited longest."""
         with self._lock:
             self._load -= 1
             if self._waiting:
@@ -73,7 +73,7 @@
 
 
 class Baseline(server.StandIn[Settings]):
-    """Answers the same paths as an entry, for callers only."""
+    """Serves the entry's path for calls of operations."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
@@ -97,7 +97,7 @@
                 exchange.send_json(404, {"reason": "no such path"})
 
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """Return the retries, and how many requests wait or run."""
+        """Return the number of retries and of requests that are queued or running."""
         load = sum(item.load for queues in self._groups.values() for item in queues)
         return {"retries": self._retries, "load": load}
 
@@ -146,7 +146,7 @@
 
 
 def _read_generation(answer: client.Response) -> tuple[int, bytes]:
-    """Return the whole text and its label; raises ValueError where the stream was cut."""
+    """Return status and JSON of a generation; raise ValueError if its stream is incomplete."""
     pieces = [json.loads(line) for line in answer.body.splitlines()]
     if answer.status != 200 or not pieces or not pieces[-1].get("last"):
         raise ValueError(answer.status)
--- a/bench/cost_entry.py
+++ b/bench/cost_entry.py
@@ -1,4 +1,4 @@
-"""Costs of an entry, with sidecars that answer at once, so that only the entry is measured."""
+"""Resource costs of an entry, measured with fake sidecars that answer immediately."""
 
 import collections.abc
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class EntrySetup:
-    """One entry, its log and host list behind counted relays, and sidecars that are fakes."""
+    """An entry with fake sidecars; its log, host list and links pass byte-counting relays."""
 
     def __init__(self, seconds: float, links: int, heartbeat_ms: int = _HEARTBEAT_MS) -> None:
         self.cluster = processes.Cluster()
@@ -36,7 +36,7 @@
         self.relays: list[cost_peers.CountingRelay] = []
 
     def start(self, contracts: int = 1) -> None:
-        """Start the platform and the entry, with so many contracts in force."""
+        """Start the platform and the entry with `contracts` contracts in force."""
         self.cluster.start_stand_in("log", "logservice")
         self.cluster.start_stand_in("hosts", "hostlist")
         for number in range(contracts):
@@ -63,7 +63,7 @@
         return cost_probe.Probe(self.cluster.find("entry").pid, self.relays, self._seconds)
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop all processes, fake sidecars and relays."""
         self.cluster.stop()
         for sidecar in self.sidecars:
             sidecar.stop()
@@ -81,14 +81,14 @@
         return self.append("configuration", [value])
 
     def append(self, stream: str, values: list[dict[str, typing.Any]]) -> int:
-        """Append records to a stream; return the first's offset."""
+        """Append records to a stream of the log; return the offset of the first."""
         url = f"{self.cluster.url('log')}/streams/{stream}/records"
         return int(processes.call("POST", url, {"records": values}).read_json()["first_offset"])
 
     def call(
         self, operation: str, content: dict[str, typing.Any], key: str = ""
     ) -> client.Response:
-        """Send a caller's request; it must succeed."""
+        """Call an operation; raise AssertionError if it fails."""
         headers = _HEADERS | ({"Idempotency-Key": key} if key else {})
         url = f"{self.cluster.url('entry')}{_CALLS}/{operation}"
         answer = processes.call("POST", url, content, headers)
@@ -96,32 +96,32 @@
         return answer
 
     def call_plain(self, number: int) -> None:
-        """Send a request that may be repeated."""
+        """Call a repeatable operation."""
         self.call("record-lookup", {"number": number})
 
     def call_claimed(self, number: int) -> None:
-        """Send a request that is claimed in the log."""
+        """Call an at-most-once operation with the caller's key, claimed in the log."""
         self.call("booking", {"number": number}, f"own-{number}")
 
     def call_ticket(self, number: int) -> None:
-        """Send a request whose key the entry issues, which makes it two."""
+        """Get a key from the entry and call an at-most-once operation with it: two requests."""
         key = str(self.call("booking/keys", {}).read_json()["key"])
         self.call("booking", {"number": number}, key)
 
     def call_streamed(self, tokens: int) -> None:
-        """Have so many tokens streamed."""
+        """Request a streamed generation of `tokens` tokens."""
         content = {"prompt": "p", "prefix": "q", "max_tokens": tokens, "stream": True}
         self.call("suggestion", content)
 
     def append_claim(self, number: int) -> None:
-        """Claim a key as another entry would."""
+        """Append a claim to the log as another entry would."""
         claim = records.Claim(
             "catania", f"foreign-{number}", "d" * 32, 1, "s", "127.0.0.1:1", "i" * 32, "n" * 32, ""
         )
         self.append(f"claims-{number % 4}", [claim.to_value()])
 
     def make_samples(self, step: int, samples: int) -> None:
-        """Register a step and wait until every sample of it is made and held."""
+        """Register a step and wait long enough for the entry to collect all its samples."""
         groups = [
             {
                 "prompt": f"p{group}",
@@ -152,7 +152,7 @@
 def open_setup(
     seconds: float, links: int, heartbeat_ms: int = _HEARTBEAT_MS, contracts: int = 1
 ) -> collections.abc.Iterator[EntrySetup]:
-    """Give a running setup that ends with the block."""
+    """Start a setup and stop it at the end of the `with` block."""
     setup = EntrySetup(seconds, links, heartbeat_ms)
     try:
         setup.start(contracts)
@@ -162,7 +162,7 @@
 
 
 def measure_links(seconds: float) -> cost_probe.Series:
-    """Vary the links of an idle entry."""
+    """Vary the number of sidecar links of an idle entry."""
     series = cost_probe.Series("entry", "sidecar link at 2 heartbeats/s")
     for links in (1, 5, 10, 20, 40):
         with open_setup(seconds, links) as setup:
@@ -171,7 +171,7 @@
 
 
 def measure_heartbeats(seconds: float) -> cost_probe.Series:
-    """Vary the heartbeats that 10 sidecars send."""
+    """Vary the rate of the heartbeats from 10 sidecars."""
     series = cost_probe.Series("entry", "heartbeat/s, 10 links")
     for heartbeat_ms in (1000, 500, 250, 125):
         with open_setup(seconds, 10, heartbeat_ms) as setup:
@@ -180,7 +180,7 @@
 
 
 def measure_requests(seconds: float) -> list[cost_probe.Series]:
-    """Vary each kind of request in turn."""
+    """Vary the rate of each kind of request in turn."""
     measured = []
     with open_setup(seconds, 5) as setup:
         probe = setup.create_probe()
@@ -206,7 +206,7 @@
 
 
 def measure_samples(seconds: float) -> cost_probe.Series:
-    """Vary the samples that are held for a trainer that pulls nothing."""
+    """Vary the number of samples that the entry holds for a trainer that does not pull."""
     series = cost_probe.Series("entry", f"sample held, {_SAMPLE_TOKENS} tokens (4 bytes each)")
     for samples in (10, 500, 1000, 2000):
         with open_setup(seconds, 5) as setup:
@@ -216,7 +216,7 @@
 
 
 def measure_configuration(seconds: float) -> list[cost_probe.Series]:
-    """Vary the contracts in force, and how often one is changed."""
+    """Vary the number of contracts in force, then the rate of contract changes."""
     in_force = cost_probe.Series("entry", "contract in force")
     for contracts in (1, 100, 200, 400):
         with open_setup(seconds, 1, contracts=contracts) as setup:
--- a/bench/cost_peers.py
+++ b/bench/cost_peers.py
@@ -1,4 +1,4 @@
-"""Counterparts of the process whose costs are measured: sidecars, entries and counted relays."""
+"""Fake sidecars, fake entries and byte-counting relays around the measured process."""
 
 import contextlib
 import socket
@@ -17,7 +17,7 @@
 
 
 class CountingRelay:
-    """Passes connections on to one address and counts the bytes of both ways."""
+    """Forwards connections to an address and counts the bytes of both directions."""
 
     def __init__(self, target: str) -> None:
         self.bytes = 0
@@ -28,11 +28,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as IP:port."""
+        """The address that the relay listens on, as IP:port."""
         return f"{_HOST}:{self._listener.getsockname()[1]}"
 
     def close(self) -> None:
-        """Accept no more; what is open ends with its two ends."""
+        """Stop listening; open connections end when either side closes them."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -66,7 +66,7 @@
 
 
 class FakeSidecar:
-    """Answers at once whatever it is sent; generations in pieces of four tokens."""
+    """Answers every request immediately and streams generations in pieces of four tokens."""
 
     def __init__(self, number: int, backend: str, heartbeat_ms: int) -> None:
         self.name = f"sidecar-{number}"
@@ -80,7 +80,7 @@
         threading.Thread(target=self._server.serve, daemon=True).start()
 
     def stop(self) -> None:
-        """End its links."""
+        """Stop listening and end its links."""
         self._stopped.set()
         self._server.stop()
 
@@ -120,7 +120,7 @@
 
 
 class FakeEntry:
-    """Dials a sidecar and reads what comes; calls are sent by `send`."""
+    """Connects to a sidecar and counts its answers; requests are sent with `send`."""
 
     def __init__(self, number: int, address: str) -> None:
         self.answers = 0
@@ -143,7 +143,7 @@
             time.sleep(0.01)
 
     def send(self, message: messages.Message) -> None:
-        """Send a message."""
+        """Send a message to the sidecar."""
         self._link.send(message)
 
     def stop(self) -> None:
--- a/bench/cost_probe.py
+++ b/bench/cost_probe.py
@@ -1,4 +1,4 @@
-"""Readings of one process from /proc, and the line through several of them."""
+"""Read a process's resource use from /proc and fit a line through several readings."""
 
 import collections.abc
 import concurrent.futures
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Reading:
-    """What a process used at one setting of what is varied."""
+    """The resource use of a process at one value of the varied quantity."""
 
     units: float
     resident_kib: float
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Series:
-    """One thing varied, and the readings at each setting."""
+    """The readings for each value of one varied quantity, whose unit is `unit`."""
 
     process: str
     unit: str
     readings: list[Reading] = dataclasses.field(default_factory=list)
 
     def fit(self) -> dict[str, typing.Any]:
-        """Return slope and intercept of each reading over the units, by least squares."""
+        """Fit a least-squares line to each resource; return slopes and intercepts."""
         figures: dict[str, typing.Any] = {"process": self.process, "unit": self.unit}
         units = [reading.units for reading in self.readings]
         for name in ("resident_kib", "cpu_ms_per_second", "bytes_per_second"):
@@ -47,7 +47,7 @@
 
 
 class Probe:
-    """Reads the processor time, memory and relayed bytes of a process over a while."""
+    """Measures CPU time, memory and relayed bytes of a process over `seconds` seconds."""
 
     def __init__(self, pid: int, relays: list[cost_peers.CountingRelay], seconds: float) -> None:
         self._pid = pid
@@ -60,7 +60,7 @@
         per_second: float = 0.0,
         act: collections.abc.Callable[[int], object] | None = None,
     ) -> Reading:
-        """Read while something is done so often; the units are what the reading is filed under."""
+        """Measure while `act` is called at a rate; `units` is the value of the varied quantity."""
         with concurrent.futures.ThreadPoolExecutor(_MOST_CALLERS) as pool:
             self._drive(pool, _SETTLE_SECONDS, per_second, act)
             cpu, count = read_cpu_ms(self._pid), self._count_bytes()
@@ -78,7 +78,7 @@
         per_second: float,
         act: collections.abc.Callable[[int], object] | None,
     ) -> None:
-        """Act at a steady rate and wait for the last to end."""
+        """Call `act` at a constant rate and wait until all calls have returned."""
         started = time.monotonic()
         futures = []
         for number in range(int(seconds * per_second) if act else 0):
@@ -93,13 +93,13 @@
 
 
 def read_cpu_ms(pid: int) -> float:
-    """Return the processor time that a process has used, in user and system mode."""
+    """Return the CPU time of a process in user and system mode, in milliseconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * 1000 / _TICKS
 
 
 def read_resident_kib(pid: int) -> float:
-    """Return a process's resident memory."""
+    """Return the resident memory of a process in KiB."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return float(line.split()[1])
--- a/bench/cost_sidecar.py
+++ b/bench/cost_sidecar.py
@@ -1,4 +1,4 @@
-"""Costs of a sidecar, with entries that only send and read, beside a stand-in backend server."""
+"""Resource costs of a sidecar, measured with fake entries and a stand-in backend server."""
 
 import collections.abc
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class SidecarSetup:
-    """One sidecar, its log and its links behind counted relays."""
+    """A sidecar with fake entries; its log and links pass byte-counting relays."""
 
     def __init__(self, seconds: float, links: int, kind: str, heartbeat_ms: int) -> None:
         self.cluster = processes.Cluster()
@@ -29,7 +29,7 @@
         self._numbers = itertools.count()
 
     def start(self) -> None:
-        """Start the platform, the backend server and the sidecar, and link entries to it."""
+        """Start the log, the backend server and the sidecar, and connect the fake entries."""
         self.cluster.start_stand_in("log", "logservice")
         pace = ("--token-ms", _TOKEN_MS) if self._kind == "engine" else ()
         self.cluster.start_stand_in("backend", self._kind, *pace)
@@ -55,7 +55,7 @@
         return cost_probe.Probe(self.cluster.find("sidecar").pid, self.relays, self._seconds)
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop all entries, processes and relays."""
         for entry in self.entries:
             entry.stop()
         self.cluster.stop()
@@ -63,7 +63,7 @@
             relay.close()
 
     def run(self, repeatable: bool, tokens: int = 0) -> None:
-        """Send one request over the next entry's link; the answer is not waited for."""
+        """Send a request over the next entry's link without waiting for the answer."""
         number = next(self._numbers)
         entry = self.entries[number % len(self.entries)]
         terms = messages.GenerationTerms("m", "q", tokens, "", 0, -1) if tokens else None
@@ -89,7 +89,7 @@
         )
 
     def count_answers(self) -> int:
-        """Return how many answers the entries had."""
+        """Return how many answers the entries received."""
         return sum(entry.answers for entry in self.entries)
 
     def _relay(self, target: str) -> str:
@@ -102,7 +102,7 @@
 def open_setup(
     seconds: float, links: int, kind: str = "service", heartbeat_ms: int = _HEARTBEAT_MS
 ) -> collections.abc.Iterator[SidecarSetup]:
-    """Give a running setup that ends with the block."""
+    """Start a setup and stop it at the end of the `with` block."""
     setup = SidecarSetup(seconds, links, kind, heartbeat_ms)
     try:
         setup.start()
@@ -112,7 +112,7 @@
 
 
 def measure_links(seconds: float) -> cost_probe.Series:
-    """Vary the links of an idle sidecar."""
+    """Vary the number of entry links of an idle sidecar."""
     series = cost_probe.Series("sidecar", "entry link at 2 heartbeats/s")
     for links in (1, 5, 10, 20, 40):
         with open_setup(seconds, links) as setup:
@@ -121,7 +121,7 @@
 
 
 def measure_heartbeats(seconds: float) -> cost_probe.Series:
-    """Vary the heartbeats to 10 entries."""
+    """Vary the rate of the heartbeats to 10 entries."""
     series = cost_probe.Series("sidecar", "heartbeat/s, 10 links")
     for heartbeat_ms in (1000, 500, 250, 125):
         with open_setup(seconds, 10, heartbeat_ms=heartbeat_ms) as setup:
@@ -130,7 +130,7 @@
 
 
 def measure_requests(seconds: float) -> list[cost_probe.Series]:
-    """Vary repeatable requests, and those that run once and whose answers are kept."""
+    """Vary the rate of repeatable requests, and of at-most-once ones, whose answers are kept."""
     measured = []
     for name, repeatable in (("plain request/s", True), ("claimed request/s", False)):
         series = cost_probe.Series("sidecar", name)
@@ -145,7 +145,7 @@
 
 
 def measure_tokens(seconds: float) -> cost_probe.Series:
-    """Vary the tokens that an engine streams."""
+    """Vary the number of tokens that an engine streams."""
     series = cost_probe.Series("sidecar", "streamed token/s, 4 a piece, 5 requests/s")
     with open_setup(seconds, 3, "engine") as setup:
         probe = setup.create_probe()
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,9 +1,9 @@
 """
-Measure what an entry and a sidecar cost per unit of what they hold and do.
+Measure the CPU time, memory and network traffic of an entry and a sidecar per unit of load.
 
-`python bench/costs.py [--only TEXT] [--seconds 4] [--json FILE]`. One thing is varied at a time;
-a slope is the least-squares line through its points. Bytes are those of links, log and host list,
-both ways, without the callers' own connections and the backend server's.
+`python bench/costs.py [--only TEXT] [--seconds 4] [--json FILE]`. One quantity is varied at a
+time, and a least-squares line through the readings gives the cost per unit. Bytes are those of
+links, log and host list in both directions, without connections to callers and backend servers.
 """
 
 import argparse
@@ -32,9 +32,9 @@
 
 
 def main() -> None:
-    """Run the chosen measures, print the slopes and write JSON."""
+    """Run the selected measurements, print the costs per unit and write them as JSON."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--only", default="", help="measures whose names begin so")
+    parser.add_argument("--only", default="", help="prefix of the measurements to run")
     parser.add_argument("--seconds", type=float, default=4.0, help="length of one reading")
     parser.add_argument("--json", default="", help="file to write the figures to")
     options = parser.parse_args()
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,4 +1,4 @@
-"""The loads of the bench: who asks for what, how often, and what fails meanwhile."""
+"""The loads of the benchmark: request rates, callers' behaviour and faults."""
 
 import collections.abc
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
-    """Something that is done to the site at a time after the start."""
+    """A fault injected, or ended, `at` seconds after the start of a load."""
 
     at: float
     act: collections.abc.Callable[[sites.Site], None]
@@ -19,20 +19,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Load:
-    """One load; the same for the baseline and for ours."""
+    """A load, the same for the baseline and the product."""
 
     name: str
     site: str = "catania"
     times: float = 1.0
-    """How many times the usual rate."""
+    """Factor on the usual request rates."""
     operation: str = ""
-    """Only this operation is asked for; empty for all."""
+    """The only operation called; empty for all."""
     seconds: float = 5.0
     behaviour: traffic.Behaviour = traffic.Behaviour()
     faults: tuple[Fault, ...] = ()
     trainer_flags: tuple[str, ...] = ()
     compares: bool = True
-    """Whether the baseline runs it too."""
+    """Whether the baseline runs the load as well."""
 
 
 def _set_log_outage(site: sites.Site) -> None:
@@ -95,5 +95,5 @@
 
 
 def find_loads(only: str) -> list[Load]:
-    """Return the loads whose names begin with a text; all for an empty one."""
+    """Return the loads whose names start with a prefix; all for an empty one."""
     return [load for load in LOADS if load.name.startswith(only)]
--- a/bench/once_bench.py
+++ b/bench/once_bench.py
@@ -1,4 +1,4 @@
-"""Compare both ways to run a request at most once: a claim in the log, and an issued ticket."""
+"""Compare the latency of at-most-once requests with a claim in the log and with a ticket."""
 
 import concurrent.futures
 import statistics
@@ -27,7 +27,7 @@
 
 
 def start(cluster: processes.Cluster) -> deployment.Deployment:
-    """Start two services behind two entries."""
+    """Start two services behind two entries and write a contract to the log."""
     deployed = deployment.Deployment(cluster)
     deployed.add_customer("catania")
     deployed.start_platform()
@@ -46,7 +46,7 @@
 
 
 def call_once(deployed: deployment.Deployment, kind: str, number: int) -> tuple[float, int]:
-    """Return how long one booking took, in milliseconds, and its status."""
+    """Send a booking; return its latency in milliseconds and its status."""
     entry = deployed.entries[number % 2]
     key = f"{kind}-{number}"
     if kind == "ticket":
@@ -57,7 +57,7 @@
 
 
 def measure(deployed: deployment.Deployment, kind: str, label: str) -> None:
-    """Print the latency and the part that was done of some bookings."""
+    """Print the latency quantiles and the number of successful bookings of a run."""
     offset = identifiers.hash_text(label) % 1_000_000 * 1000
     with concurrent.futures.ThreadPoolExecutor(_CALLERS) as pool:
         numbers = range(offset, offset + _REQUESTS)
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Measure with a fast and a slow log, and with none."""
+    """Measure with a fast log, a slow log and a log that is down."""
     cluster = processes.Cluster()
     try:
         deployed = start(cluster)
--- a/bench/policy_admission.py
+++ b/bench/policy_admission.py
@@ -1,4 +1,4 @@
-"""Admission measured against queues without it: shares, starvation, goodput."""
+"""Compare admission with simpler queues: shares, starvation and goodput."""
 
 import collections.abc
 import dataclasses
@@ -14,18 +14,18 @@
 _SHARES = {"a": 50, "b": 30, "c": 20}
 _PLACES = 200
 _FEW_PLACES = 20
-"""Places that make 250 ms of waiting, within the shortest deadline."""
+"""A queue length that makes 250 ms of waiting, which is within the shortest deadline."""
 _COST_MS = 50.0
 _CAPACITY = policy_queues.SLOTS / (_COST_MS / 1000)
-"""Requests a second that the slots can serve."""
+"""Requests per second that the slots can serve."""
 _STARVATION_SECONDS = 100.0
 _SIGMA = 0.5
-"""How far real service times scatter around predicted ones (lognormal)."""
+"""Lognormal sigma of the actual service times around the predicted ones."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Stream:
-    """Requests of one customer and class."""
+    """Poisson arrivals of one customer's requests of one priority; `rate` is per second."""
 
     customer: str
     priority: contract.Priority
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Ended:
-    """Work that was run."""
+    """Work that has ended; `ended_at` is simulated time in seconds."""
 
     item: work.Work
     service_ms: float
@@ -44,12 +44,12 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Whether its caller still waited."""
+        """Whether the work ended by its deadline."""
         return self.ended_at <= self.item.deadline.expires_at
 
 
 class Server:
-    """A queue and its slots under streams of requests."""
+    """A simulated server: a queue and slots, fed by streams of requests."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
 
 
 def measure_shares() -> list[policy_simulation.Figure]:
-    """Saturate with one customer that sends four to six times as much as the others."""
+    """Saturate the slots; one customer sends four to six times as much as the others."""
     interactive = contract.Priority.INTERACTIVE
     streams = [
         Stream("a", interactive, 0.75 * _CAPACITY, 10_000),
@@ -167,7 +167,7 @@
 
 
 def measure_starvation() -> list[policy_simulation.Figure]:
-    """Run background work beside interactive work that alone is more than the slots can do."""
+    """Run background work next to interactive work that alone exceeds the capacity."""
     streams = [
         Stream("a", contract.Priority.INTERACTIVE, 1.2 * _CAPACITY, 1_000),
         Stream("c", contract.Priority.BACKGROUND, 0.02 * _CAPACITY, 60_000),
@@ -204,7 +204,7 @@
 
 
 def measure_goodput() -> list[policy_simulation.Figure]:
-    """Offer one, two and three times what the slots can do, with deadlines of 0.3 to 1.5 s."""
+    """Offer one, two and three times the capacity, with deadlines of 0.3 to 1.5 s."""
     figures = []
     for load in (1, 2, 3):
         rate = load * _CAPACITY / 3
--- a/bench/policy_bench.py
+++ b/bench/policy_bench.py
@@ -1,4 +1,4 @@
-"""Measure admission and routing in simulated time, from fixed seeds, against simpler ways."""
+"""Compare admission, routing and retries with simpler policies in simulated time."""
 
 import time
 
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Print each measure of a baseline and of ours, and their ratio."""
+    """Print each figure of a baseline and of the product, and their ratio; seeds are fixed."""
     started_at = time.monotonic()
     print(f"{'case':<34}{'measure':<40}{'baseline':>10}{'ours':>10}{'ratio':>9}")
     for measure in (
--- a/bench/policy_choosers.py
+++ b/bench/policy_choosers.py
@@ -1,4 +1,4 @@
-"""Ways for an entry to choose a server, and the product's router behind the same interface."""
+"""Policies for choosing a server, and the product's router behind the same interface."""
 
 import abc
 import random
@@ -14,7 +14,7 @@
 
 
 class Chooser(abc.ABC):
-    """How one entry chooses."""
+    """The policy by which an entry chooses a server."""
 
     @abc.abstractmethod
     def choose(self, prefix: str) -> str:
@@ -22,31 +22,31 @@
 
     @abc.abstractmethod
     def report(self, name: str, outstanding: int) -> None:
-        """Take in a load report."""
+        """Handle a server's load report."""
 
     @abc.abstractmethod
     def note_started(self, name: str) -> None:
-        """Count a request that was sent."""
+        """Record that a request was sent to a server."""
 
     @abc.abstractmethod
     def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
-        """Count a request that ended."""
+        """Record that a request to a server ended."""
 
 
 class LeastReported(Chooser):
-    """The server whose last report is lowest; ties at random."""
+    """Chooses the server with the lowest last report; breaks ties at random."""
 
     def __init__(self, source: random.Random) -> None:
         self._source = source
         self._loads: dict[str, int] = {}
 
     def choose(self, prefix: str) -> str:
-        """Return the least loaded of all."""
+        """Return the server with the lowest load."""
         least = min(self._loads.values())
         return self._source.choice([name for name, load in self._loads.items() if load == least])
 
     def report(self, name: str, outstanding: int) -> None:
-        """Keep the load."""
+        """Store the reported load."""
         self._loads[name] = outstanding
 
     def note_started(self, name: str) -> None:
@@ -57,7 +57,7 @@
 
 
 class TwoReported(LeastReported):
-    """The lower of two random servers' last reports."""
+    """Chooses the server with the lower last report of two random ones."""
 
     def choose(self, prefix: str) -> str:
         """Return the less loaded of two."""
@@ -65,31 +65,31 @@
 
 
 class TwoWithOwn(LeastReported):
-    """The lower of two random servers, by report and by what was started and ended since."""
+    """Like TwoReported, but adjusts reports by the requests it started and ended since."""
 
     def choose(self, prefix: str) -> str:
         """Return the less loaded of two."""
         return min(self._source.sample(list(self._loads), 2), key=lambda name: self._loads[name])
 
     def note_started(self, name: str) -> None:
-        """Add it to the report."""
+        """Increment the server's load."""
         self._loads[name] += 1
 
     def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
-        """Take it off the report."""
+        """Decrement the server's load."""
         self._loads[name] -= 1
 
 
 class PureHash(LeastReported):
-    """The server that the prefix hashes to, whatever its load."""
+    """Chooses by rendezvous hashing of the prefix, regardless of load."""
 
     def choose(self, prefix: str) -> str:
-        """Return the first in the prefix's rank."""
+        """Return the server with the highest hash for the prefix."""
         return max(self._loads, key=lambda name: identifiers.hash_text(f"{name}\n{prefix}"))
 
 
 class OurRouter(Chooser):
-    """The product's router, with parts of it switched off where a case compares them."""
+    """The product's router; affinity to prefixes and health checks can be disabled."""
 
     def __init__(
         self, simulation: policy_simulation.Simulation, seed: int, by_prefix: bool, judges: bool
@@ -99,7 +99,7 @@
         self._judges = judges
 
     def choose(self, prefix: str) -> str:
-        """Ask the router."""
+        """Return the router's choice."""
         return self._router.choose(
             router.RouteRequest(
                 backend=_BACKEND,
@@ -112,7 +112,7 @@
         ).ok
 
     def report(self, name: str, outstanding: int) -> None:
-        """Pass a report on."""
+        """Pass the report to the router."""
         report = peers.PeerReport(
             failure_domain="x",
             backend=_BACKEND,
@@ -128,11 +128,11 @@
         self._router.update(name, report)
 
     def note_started(self, name: str) -> None:
-        """Pass it on."""
+        """Pass the start to the router."""
         self._router.record_started(name)
 
     def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
-        """Pass the outcome on, or only that there was one."""
+        """Pass the outcome to the router, or only that the request ended if it must not judge."""
         outcome = router.RouteOutcome.OK if succeeded else router.RouteOutcome.FAILED
         if not self._judges:
             outcome = router.RouteOutcome.REFUSED
--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated entries and backend servers, fed with requests."""
+"""A simulated fleet of entries and backend servers under Poisson arrivals."""
 
 import collections
 import collections.abc
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request, from its start at an entry to its end."""
+    """A request; times are simulated seconds, `peer` is the server that ran it."""
 
     prefix: str
     service_ms: float
@@ -22,12 +22,12 @@
 
     @property
     def latency_ms(self) -> float:
-        """How long its caller waited."""
+        """Time from start to end, in milliseconds."""
         return (self.ended_at - self.started_at) * 1000
 
 
 class Server:
-    """A backend server: some slots, a line before them and a cache of prefixes."""
+    """A simulated backend server with slots, a FIFO queue and a prefix cache."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests that wait or run."""
+        """Number of requests queued or running."""
         return self.running + len(self.waiting)
 
     def accept(self, request: Request, ended: collections.abc.Callable[[bool], None]) -> None:
-        """Run a request when a slot is free; one that fails does so at once."""
+        """Queue a request, or fail it after 1 ms with the probability `failing_part`."""
         request.peer = self.name
         if self._source.random() < self.failing_part:
             self._simulation.schedule(0.001, lambda: self._end(request, ended, False))
@@ -96,12 +96,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Traffic:
-    """What a fleet is given."""
+    """The size of a fleet and its load."""
 
     servers: int
     entries: int
     rate: float
-    """Requests a second, all entries together."""
+    """Requests per second of all entries together."""
     service_ms: float
     report_seconds: float
     prefixes: int = 0
@@ -111,7 +111,7 @@
 
 
 class Fleet:
-    """Entries that send to servers, whose load reports come at intervals."""
+    """Entries that send requests to servers, which send load reports at intervals."""
 
     def __init__(
         self,
--- a/bench/policy_queues.py
+++ b/bench/policy_queues.py
@@ -1,4 +1,4 @@
-"""Queues that admission is compared with, and admission behind the same interface."""
+"""Baseline queues, and the product's admission queue behind the same interface."""
 
 import abc
 import collections
@@ -12,11 +12,11 @@
 
 
 class Queue(abc.ABC):
-    """What stands in front of the slots."""
+    """A queue of work waiting for a slot."""
 
     @abc.abstractmethod
     def submit(self, item: work.Work) -> bool:
-        """Let work in; return whether it was."""
+        """Queue work; return False if it was refused."""
 
     @abc.abstractmethod
     def take(self) -> work.Work | None:
@@ -24,18 +24,18 @@
 
     @abc.abstractmethod
     def finish(self, item: work.Work, service_ms: float) -> None:
-        """Take note of work that ended."""
+        """Record that work ended."""
 
 
 class FifoQueue(Queue):
-    """First come, first served; drops nothing but what does not fit."""
+    """First in, first out; refuses work only if the queue is full."""
 
     def __init__(self, places: int) -> None:
         self._places = places
         self._items: collections.deque[work.Work] = collections.deque()
 
     def submit(self, item: work.Work) -> bool:
-        """Let work in while there is a place."""
+        """Queue work unless the queue is full."""
         if len(self._items) >= self._places:
             return False
         self._items.append(item)
@@ -50,13 +50,13 @@
 
 
 class StrictQueue(Queue):
-    """The most urgent class first, without a floor."""
+    """Strict priorities: the most urgent class first, with no minimum for the others."""
 
     def __init__(self, places: int) -> None:
         self._queues = [FifoQueue(places) for _ in contract.Priority]
 
     def submit(self, item: work.Work) -> bool:
-        """Let work in while its class has a place."""
+        """Queue work unless the queue of its class is full."""
         return self._queues[item.priority].submit(item)
 
     def take(self) -> work.Work | None:
@@ -68,21 +68,21 @@
 
 
 class OurQueue(Queue):
-    """The product's admission."""
+    """The product's admission queue."""
 
     def __init__(self, simulation: policy_simulation.Simulation, places: int) -> None:
         source = random.Random(1)
         self._queue = admission.AdmissionQueue(SLOTS, places, simulation.read_now, source)
 
     def submit(self, item: work.Work) -> bool:
-        """Ask admission."""
+        """Submit work to the admission queue."""
         return self._queue.submit(item).is_ok()
 
     def take(self) -> work.Work | None:
-        """Take what goes next."""
+        """Return the next work, after discarding work that was dropped."""
         self._queue.take_dropped()
         return self._queue.take(0.0)
 
     def finish(self, item: work.Work, service_ms: float) -> None:
-        """Report the real service time."""
+        """Report the actual service time to the admission queue."""
         self._queue.finish(item.work_id, service_ms)
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -1,4 +1,4 @@
-"""A retry storm measured: does a backend that was slow for a moment come back."""
+"""Simulate a retry storm: whether a backend recovers after it was slow for a while."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 
 _RATE = 80.0
 _SERVICE_SECONDS = 0.01
-"""One server; the load is four fifths of what it can do."""
+"""Service time of the only server, which `_RATE` uses to four fifths of its capacity."""
 _TIMEOUT_SECONDS = 1.0
 _MOST_RETRIES = 3
 _DIP_FROM = 20.0
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Request:
-    """One request and its tries."""
+    """A request and the number of its attempts."""
 
     started_at: float
     tries: int = 0
@@ -30,7 +30,7 @@
 
 
 class _Storm:
-    """Callers that retry at a server which does not know that a caller has given up."""
+    """Callers that retry at a server that also serves requests whose callers gave up."""
 
     def __init__(self, budget: retries.RetryBudget | None) -> None:
         self.requests: list[_Request] = []
@@ -41,17 +41,17 @@
         self._is_busy = False
 
     def run(self) -> None:
-        """Run all of it."""
+        """Run the simulation to its end."""
         self._schedule_arrival()
         self._simulation.run(_END)
 
     def count_tries(self, since: float, until: float) -> float:
-        """Return tries for each request that started then."""
+        """Return the mean number of attempts of the requests started in a period."""
         inside = [item for item in self.requests if since <= item.started_at < until]
         return sum(item.tries for item in inside) / len(inside)
 
     def count_answered(self, since: float, until: float) -> float:
-        """Return the percentage of requests answered of those that started then."""
+        """Return the percentage of the requests started in a period that were answered."""
         inside = [item for item in self.requests if since <= item.started_at < until]
         return sum(1 for item in inside if item.answered) / len(inside) * 100
 
@@ -99,7 +99,7 @@
 
 
 def measure_storm() -> list[policy_simulation.Figure]:
-    """Slow one server down to a quarter for ten seconds, at four fifths of its load."""
+    """Slow the server to a quarter of its speed for ten seconds at 80% load."""
     baseline = _Storm(None)
     baseline.run()
     ours = _Storm(retries.RetryBudget(10, 10))
--- a/bench/policy_routing.py
+++ b/bench/policy_routing.py
@@ -1,4 +1,4 @@
-"""Routing measured: herding, prefix caches and grey peers."""
+"""Compare routing policies: herding, prefix caches and servers with grey failures."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
 _HERD = policy_fleet.Traffic(
     servers=20, entries=10, rate=600.0, service_ms=100.0, report_seconds=1.0
 )
-"""Three quarters of what 80 slots can do."""
+"""Uses three quarters of the capacity of 80 slots."""
 _PREFIXES = policy_fleet.Traffic(
     servers=10,
     entries=5,
@@ -26,11 +26,11 @@
     prefill_ms=200.0,
     cached_prefixes=60,
 )
-"""Three fifths of what 40 slots can do with every prefix cached, more than all without."""
+"""Uses three fifths of the capacity of 40 slots if every prefix is cached; too much if none is."""
 _GREY = policy_fleet.Traffic(
     servers=10, entries=3, rate=120.0, service_ms=100.0, report_seconds=0.5
 )
-"""Three tenths of what 40 slots can do."""
+"""Uses three tenths of the capacity of 40 slots."""
 _HERD_SAMPLES_FROM = 2.0
 _HERD_SECONDS = 22.0
 _FAULT_FROM = 5.0
@@ -81,10 +81,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Herding:
-    """How unevenly a fleet was loaded."""
+    """How unevenly the servers were loaded, and the waits."""
 
     peak: float
-    """The most loaded server's load to the mean, averaged over time."""
+    """Ratio of the highest load to the mean load of the servers, averaged over time."""
     wait_ms: float
     slowest_ms: float
 
@@ -109,7 +109,7 @@
 
 
 def measure_herding() -> list[policy_simulation.Figure]:
-    """Send from ten entries to twenty servers whose reports are up to a second old."""
+    """Route from ten entries to twenty servers whose reports are up to a second old."""
     ours = _run_herd(_create_by_load)
     figures = []
     baselines = (
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Caching:
-    """What prefix caches brought."""
+    """Cache hits and latencies of a run."""
 
     hit_percent: float
     latency_ms: float
@@ -151,7 +151,7 @@
 
 
 def measure_prefixes() -> list[policy_simulation.Figure]:
-    """Send prompts whose 400 prefixes are as popular as words are, to caches of 60 each."""
+    """Route prompts with 400 prefixes of Zipf popularity to servers that cache 60 each."""
     ours = _run_prefixes(_create_ours)
     figures = []
     for name, create in (("load only", _create_by_load), ("hash only", _create_hash)):
@@ -166,7 +166,7 @@
 
 
 def _run_grey(create: CreateChooser, failing_part: float, slowdown: float) -> tuple[float, float]:
-    """Return the percentage of requests at the grey server, and the one after it is well again."""
+    """Return the faulty server's percentage of requests during the fault and after it."""
     simulation, fleet = _build(create, _GREY, 6)
     grey = fleet.servers["server-0"]
     simulation.run(_FAULT_FROM)
@@ -191,7 +191,7 @@
 
 
 def measure_grey_peer() -> list[policy_simulation.Figure]:
-    """Let one of ten servers fail all or half of its work, or take ten times as long, for 20 s."""
+    """For 20 s, one of ten servers fails all or half of its requests or is ten times slower."""
     figures = []
     for name, failing_part, slowdown in (
         ("fails", 1.0, 1.0),
--- a/bench/policy_simulation.py
+++ b/bench/policy_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated time, and the figures that a simulation gives."""
+"""A discrete-event simulation with simulated time, and its figures."""
 
 import collections.abc
 import dataclasses
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Figure:
-    """One measure of a baseline and of ours."""
+    """A figure of a baseline and of the product."""
 
     case: str
     measure: str
@@ -16,7 +16,7 @@
 
     @property
     def ratio(self) -> float:
-        """Ours to the baseline."""
+        """The product's figure divided by the baseline's; infinite if that is 0."""
         return self.ours / self.baseline if self.baseline else float("inf")
 
 
@@ -29,16 +29,16 @@
         self._sequence = 0
 
     def read_now(self) -> float:
-        """Return simulated seconds."""
+        """Return the simulated time in seconds."""
         return self.now
 
     def schedule(self, seconds: float, callback: collections.abc.Callable[[], None]) -> None:
-        """Run a callback so long from now."""
+        """Run a callback `seconds` from now."""
         self._sequence += 1
         heapq.heappush(self._events, (self.now + seconds, self._sequence, callback))
 
     def run(self, until: float) -> None:
-        """Run all callbacks before a moment."""
+        """Run all callbacks up to a simulated time, inclusive."""
         while self._events and self._events[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._events)
             callback()
@@ -46,11 +46,11 @@
 
 
 def find_quantile(values: list[float], part: float) -> float:
-    """Return the value below which a part of all values is."""
+    """Return a quantile; `part` is between 0 and 1; 0.0 without values."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(part * len(ranked)))] if ranked else 0.0
 
 
 def find_mean(values: list[float]) -> float:
-    """Return the mean, or 0 of nothing."""
+    """Return the mean, or 0.0 without values."""
     return sum(values) / len(values) if values else 0.0
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,8 +1,9 @@
 """
-Measure the whole service against a baseline, as real processes under stated loads.
+Compare the whole service with a baseline, both as real processes under the same loads.
 
-`make bench` runs all; `make bench ONLY=overload` the loads whose names begin so. Arrivals and
-their order follow from the seed; times do not, so figures differ between runs: compare ratios.
+`make bench` runs every load; `make bench ONLY=overload` runs those whose names start with that
+prefix. Arrivals and their order follow from the seed, but timing does not, so figures differ
+between runs: compare ratios.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 
 
 def main() -> None:
-    """Run the chosen loads, print a table and write JSON."""
+    """Run the selected loads, print a table and write the figures as JSON."""
     options = _read_options()
     os.environ["PYTHONPATH"] += os.pathsep + str(pathlib.Path(__file__).parent)
     chosen = loads.find_loads(options.only)
@@ -45,7 +46,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--scale", type=float, default=1.0, help="multiplies every rate")
-    parser.add_argument("--only", default="", help="loads whose names begin so")
+    parser.add_argument("--only", default="", help="prefix of the loads to run")
     parser.add_argument("--json", default="", help="file to write the figures to")
     return parser.parse_args()
 
@@ -64,7 +65,7 @@
 
 
 class Bench:
-    """Runs loads at one site."""
+    """Runs loads at a site and prints their figures."""
 
     def __init__(self, site: sites.Site, options: argparse.Namespace) -> None:
         self._site = site
@@ -72,12 +73,12 @@
         self._runs = 0
 
     def warm_up(self) -> None:
-        """Open connections and fill the estimates; nothing of it is reported."""
+        """Run an unreported load that opens connections and initialises estimates."""
         for is_ours in (False, True):
             self._measure(loads.Load("warm-up", seconds=_WARM_UP_SECONDS), is_ours)
 
     def compare(self, load: loads.Load) -> list[dict[str, typing.Any]]:
-        """Run a load with the baseline and with ours, and print both."""
+        """Run a load against the baseline and the product; print and return their figures."""
         arms = [False, True] if load.compares else [True]
         results = []
         for is_ours in arms:
--- a/bench/samples_bench.py
+++ b/bench/samples_bench.py
@@ -1,9 +1,9 @@
 """
-Measure how samples reach a trainer: log outages, stragglers, staleness and replaced entries.
+Measure the delivery of samples: log outages, stragglers, staleness and replaced entries.
 
-Run with `make bench`, or `python bench/samples_bench.py` and any of outage, stragglers, staleness,
-replaced and objective.
-All times are simulated and all seeds fixed, so a second run prints the same figures.
+Run with `make bench`, or with `python bench/samples_bench.py` and the names of measurements:
+outage, stragglers, staleness, replaced, objective. All times are simulated and all seeds fixed, so
+every run prints the same figures.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class StepFigures:
-    """What one run of a step came to."""
+    """The duration of a step, its tokens generated in excess and the mean sample length."""
 
     seconds: float
     extra_percent: float
@@ -34,7 +34,7 @@
 
 
 def run_step(workload: simulation.Workload, seed: int) -> StepFigures:
-    """Collect one step."""
+    """Simulate a step until it is complete."""
     timeline = simulation.Timeline()
     entry = simulation.Entry(timeline, workload, seed)
     trainer = simulation.Trainer(timeline, simulation.PULL_SECONDS)
@@ -47,14 +47,14 @@
 def describe_step(
     seconds: float, entry: simulation.Entry, trainer: simulation.Trainer
 ) -> StepFigures:
-    """Return the figures of a step that is complete."""
+    """Return the figures of a complete step."""
     delivered = trainer.delivered_tokens
     extra = 100 * (entry.made_tokens - delivered) / delivered
     return StepFigures(seconds, extra, delivered / len(trainer.held))
 
 
 def measure_stragglers() -> None:
-    """Compare what is done about stragglers."""
+    """Compare policies for slow samples: hedging, migration, both or neither."""
     policies = {
         "none": hedging.StragglerPolicy(0, allows_migration=False),
         "resume elsewhere (move)": hedging.StragglerPolicy(0, allows_migration=True),
@@ -93,7 +93,7 @@
 
 
 class VersionClock:
-    """Raises the trainer's version regularly; the engines follow, one after the other."""
+    """Raises the trainer's version at intervals; engines load it one after the other."""
 
     def __init__(
         self, entry: simulation.Entry, trainer: simulation.Trainer, restarts: bool
@@ -112,7 +112,7 @@
         self._entry.timeline.call_in(VERSION_SECONDS, self._raise_version)
 
     def _load(self, engine: simulation.Engine, version: int) -> None:
-        """Change an engine's weights; one of them breaks its streams at that."""
+        """Change an engine's weights; one engine at each version also breaks its streams."""
         engine.version = version
         source = self._entry.collector
         breaks = engine.index == version % len(self._entry.engines)
@@ -128,7 +128,7 @@
 
 
 def measure_staleness() -> None:
-    """Compare going on with new weights and starting anew, while versions change."""
+    """Compare resuming samples with new weights and restarting them at each version."""
     rows = []
     short = dataclasses.replace(simulation.SMALL, max_tokens=1024)
     for bound in (1, 2, 4):
@@ -168,7 +168,7 @@
 
 
 def measure_replaced() -> None:
-    """Compare when a replaced entry starts work: at the registration or when it knows more."""
+    """Compare when a replacement entry starts work, and whether it knows the samples held."""
     rows = []
     for gap in (0.01, 5.0):
         for name in ("at once", "at the first pull", "at once, `held` in the body"):
@@ -216,7 +216,7 @@
 
 
 def main() -> None:
-    """Run the measures that the command line names, or all."""
+    """Run the measurements named on the command line, or all of them."""
     for name in sys.argv[1:] or MEASURES:
         MEASURES[name]()
 
--- a/bench/samples_cost.py
+++ b/bench/samples_cost.py
@@ -1,4 +1,4 @@
-"""Measure what one step of 8192 samples costs an entry in processor time and memory."""
+"""Measure the CPU time and memory that a step of 8192 samples costs an entry."""
 
 import json
 import time
@@ -13,23 +13,23 @@
 PIECE_TOKENS = 20
 PIECE_TEXT = "x" * 80
 LEFT = 2048
-"""The samples that still run when stragglers are looked for."""
+"""Number of samples still running when the collector looks for stragglers."""
 
 
 class Stopwatch:
-    """Real time, in microseconds for each of a number of calls."""
+    """Measures wall-clock time and prints it in microseconds per call."""
 
     def __init__(self) -> None:
         self._started = time.perf_counter()
 
     def print_each(self, name: str, calls: int) -> None:
-        """Print the mean since the start."""
+        """Print the mean time per call since the start."""
         micros = 1e6 * (time.perf_counter() - self._started) / calls
         print(f"| {name} | {micros:.1f} |", flush=True)
 
 
 def read_step() -> steps.Step:
-    """Return a large step, as it comes in a body."""
+    """Decode a large step from a request body, and print how long that takes."""
     group = {"prompt": "p" * 2000, "prefix": "", "samples": SAMPLES, "max_tokens": 4096}
     body = json.dumps({"incarnation": 1, "version": 7, "held": "", "groups": [group] * GROUPS})
     watch = Stopwatch()
@@ -39,20 +39,20 @@
 
 
 def write_pull(numbers: range | list[int]) -> bytes:
-    """Return the body of a pull."""
+    """Return the request body of a pull."""
     text = number_sets.format_numbers(numbers)
     body = {"incarnation": 1, "version": 7, "held": text, "wait_ms": 0, "most": 64}
     return json.dumps(body).encode()
 
 
 class Clock:
-    """Time that stands still between the measured parts."""
+    """A clock that only advances when `now` is set."""
 
     now = 0.0
 
 
 def main() -> None:
-    """Print the table."""
+    """Run the measurements and print the table."""
     print("| action | µs each |\n|---|---|")
     step = read_step()
     terms = contract.TrainerTerms("bench", "bench", "m", 1, contract.Objective.IDLE_TIME, 2)
@@ -84,7 +84,11 @@
 
 
 def measure_pulls(source: collector.StepCollector, whole: list[int]) -> None:
-    """Measure pulls by a trainer that holds half of what is whole, in the longest form."""
+    """
+    Measure pulls of a trainer that holds every other finished sample.
+
+    Every other number makes the longest encoding of the samples held.
+    """
     body = write_pull(whole[::2])
     watch = Stopwatch()
     pull = readers.read_pull(body).ok
--- a/bench/samples_objective.py
+++ b/bench/samples_objective.py
@@ -1,4 +1,4 @@
-"""Two trainers that share engines: one weighs staleness more, one idle time; simulated time."""
+"""Simulate two trainers with different objectives, staleness and idle time, on one fleet."""
 
 import collections.abc
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 class Rule(enum.Enum):
-    """What the objective changes."""
+    """What a trainer's objective changes in the scheduling of its samples."""
 
     NOTHING = "nothing"
     RESTART = "staleness: a short start by older weights is made anew"
@@ -31,7 +31,7 @@
 
 
 class SharedEntry(simulation.Entry):
-    """Starts one trainer's work on engines that another's entry uses as well."""
+    """The entry of one trainer, on engines shared with another trainer's entry."""
 
     def __init__(
         self,
@@ -47,16 +47,16 @@
         self.chosen: simulation.Engine | None = None
 
     def dispatch(self) -> None:
-        """Let the fleet decide whose work starts."""
+        """Let the fleet decide which entry starts work."""
         self.fleet.dispatch()
 
     def cancel_unwanted(self) -> None:
-        """Stop what the collector gave up."""
+        """Stop the generations that the collector cancelled."""
         if self.collector is not None:
             self._cancel(self.collector.take_cancellations())
 
     def start_next(self) -> bool:
-        """Start one sample, if one is due."""
+        """Start the next sample; return False if there is none."""
         work = self.collector.next_work() if self.collector is not None else None
         if work is not None:
             self._start(work)
@@ -73,7 +73,7 @@
 
 
 class Fleet:
-    """Engines of eight slots and the two entries that share them."""
+    """The shared engines, with eight slots each, and the two entries that use them."""
 
     def __init__(self, timeline: simulation.Timeline, rule: Rule, seed: int) -> None:
         self._timeline = timeline
@@ -101,11 +101,11 @@
 
     @property
     def engines(self) -> list[simulation.Engine]:
-        """The engines that are shared."""
+        """The shared engines."""
         return self.entries[0].engines
 
     def dispatch(self) -> None:
-        """Fill the free slots by the rule."""
+        """Fill the free slots in the order that the rule gives."""
         for entry in self.entries:
             entry.cancel_unwanted()
         if self._rule is Rule.MATCHED:
@@ -117,7 +117,7 @@
                 return
 
     def _match(self) -> None:
-        """Give free slots to the trainer that the engine's weights suit, else to the other."""
+        """Offer slots on current weights to the staleness trainer first, others to the other."""
         for engine in sorted(self.engines, key=lambda item: len(item.running)):
             first = _STALENESS if engine.version >= self.entries[0].version else _IDLE_TIME
             while self._has_room(engine):
@@ -154,7 +154,7 @@
 
 
 class SharedTrainer(simulation.Trainer):
-    """Takes several steps, training between them, and adds up its idle time."""
+    """Runs several steps with training between them, and sums up its idle time."""
 
     def __init__(self, timeline: simulation.Timeline, entry: SharedEntry) -> None:
         super().__init__(timeline, simulation.PULL_SECONDS)
@@ -167,7 +167,7 @@
         self.announce: collections.abc.Callable[[], None] | None = None
 
     def begin(self) -> None:
-        """Put the next step, with new weights if told so, and pull until it is whole."""
+        """Register the next step, announcing new weights if set, and pull until it is complete."""
         if self.announce is not None:
             self.announce()
         self.held.clear()
@@ -192,7 +192,7 @@
 
 
 def measure_objective() -> None:
-    """Compare what the objective may change; versions rise by the clock or with each step."""
+    """Compare the rules, with versions raised at fixed intervals and with each step."""
     for title, by_step in (
         (f"a version each {_VERSION_SECONDS:.0f} s", False),
         ("a version with each step of the staleness trainer", True),
@@ -211,7 +211,7 @@
 
 
 class _Versions:
-    """Raises both trainers' version; the engines follow, one after the other."""
+    """Raises the version of both trainers; engines load it one after the other."""
 
     def __init__(
         self, timeline: simulation.Timeline, fleet: Fleet, trainers: list[SharedTrainer]
@@ -221,12 +221,12 @@
         self._trainers = trainers
 
     def tick(self) -> None:
-        """Raise it now and regularly."""
+        """Raise the version now and at each interval."""
         self.raise_all()
         self._timeline.call_in(_VERSION_SECONDS, self.tick)
 
     def raise_all(self) -> None:
-        """Raise it now."""
+        """Raise the version now."""
         for trainer, entry in zip(self._trainers, self._fleet.entries, strict=True):
             trainer.version += 1
             entry.version = trainer.version
--- a/bench/samples_outage.py
+++ b/bench/samples_outage.py
@@ -1,4 +1,4 @@
-"""The other way to deliver once: a record in the log before each delivery, and its cost."""
+"""Cost of an alternative design that logs a record before each delivery of samples."""
 
 import functools
 import math
@@ -16,7 +16,7 @@
 
 
 class RecordedTrainer(simulation.Trainer):
-    """The other way: each batch is recorded in the log before it is delivered."""
+    """A trainer whose entry records each batch of samples in the log before delivery."""
 
     def __init__(self, timeline: simulation.Timeline, outage_from: float, outage: float) -> None:
         super().__init__(timeline, simulation.PULL_SECONDS)
@@ -25,7 +25,7 @@
         self.appends = 0
 
     def pull_until_complete(self, entry: simulation.Entry) -> None:
-        """Record what is whole, deliver it, and go on."""
+        """Pull, record and deliver finished samples until the step is complete."""
         if entry.collector is None:
             return
         request = pulls.Pull(1, self.version, frozenset(self.held), 0, MOST_PULLED)
@@ -35,7 +35,7 @@
         self._timeline.call_in(delay, lambda: self._deliver(entry, answer))
 
     def _record(self) -> float:
-        """Return how long it takes until the batch's record stands in the log."""
+        """Return the seconds until the record of the batch is in the log."""
         self.appends += 1
         now = self._timeline.now
         if not self._outage_from <= now < self._outage_until:
@@ -51,7 +51,7 @@
 
 
 def run_steps(trainer: simulation.Trainer, timeline: simulation.Timeline, seed: int) -> float:
-    """Collect and train several steps in turn; return how long the trainer was idle."""
+    """Run several steps with training between them; return the idle time in seconds."""
     entry = simulation.Entry(timeline, simulation.SMALL, seed)
     idle = 0.0
     for step in range(STEPS):
@@ -74,9 +74,9 @@
 
 def measure_outage() -> None:
     """
-    Compare the trainer's own statement with a record before each delivery.
+    Compare deliveries by the samples that the trainer states as held with records in the log.
 
-    The first way has nothing to do with the log, so it is run once for all outages.
+    The trainer's statement does not need the log, so it is simulated once for all outages.
     """
     stated = []
     for seed in simulation.SEEDS:
--- a/bench/site_copies.py
+++ b/bench/site_copies.py
@@ -1,10 +1,11 @@
 """
-Play copies of a platform's site at other speeds, and print the worth of each day.
+Play days of a copy of a platform's site with other speeds, and print the worth of each.
 
 `python bench/site_copies.py BENCH SITE FOLDER [--loads 2.8] [--engines 2] [--days quiet-1,...]`.
 BENCH is the platform's program, SITE a site file, FOLDER a new one outside the temporary folder
-for the copy, which is not committed. A load takes `--loads` times as long, an engine's step
-`--engines` times. Run in the checkout to be measured; each play leaves its journal entry there.
+for the copy, which is not committed. `--loads` multiplies the time that a load of weights takes
+and `--engines` that of an engine's step. Run it in the checkout to be measured; each play writes
+its journal entry there.
 """
 
 import argparse
@@ -20,7 +21,7 @@
 
 
 def copy_site(site, folder, loads, engines):
-    """Copy a site with all files beside it, at other speeds; return the copy."""
+    """Copy a site file and its folder with scaled times; return the path of the copy."""
     shutil.copytree(site.parent, folder, copy_function=shutil.copyfile)
     copied = folder / site.name
     text = copied.read_text()
@@ -36,7 +37,7 @@
 
 
 def play(bench, site, day, seed, cwd=None, why="a copy of a site at other speeds"):
-    """Return the worth of a day on a checkout, or nothing where it was not played."""
+    """Play a day on a checkout; return its worth, or None if the output has none."""
     command = [bench, "run", str(site), day, "--seed", str(seed), "--no-cpu"]
     command += ["--why", why]
     ran = subprocess.run(command, cwd=cwd, capture_output=True, text=True)
@@ -45,7 +46,7 @@
 
 
 def main():
-    """Make the copy, play its days, print their worth."""
+    """Create the copy, play its days and print their worth."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench")
     parser.add_argument("site", type=pathlib.Path)
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -1,4 +1,4 @@
-"""Both customers' deployments at today's size, as processes on loopback."""
+"""The deployments of both customers, at their present size, as processes on loopback."""
 
 import dataclasses
 import json
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Plan:
-    """What a customer has and asks for."""
+    """A customer's backend servers and the rates of its requests."""
 
     customer: str
     desk: str
@@ -60,14 +60,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Prefixes:
-    """What an engine counted since it was started."""
+    """An engine's prefix cache hits and misses since its start."""
 
     hits: int
     misses: int
 
 
 def compute_hit_percent(before: list[Prefixes], after: list[Prefixes]) -> float:
-    """Return the hit rate between two readings; an engine started anew counts from 0."""
+    """Return the hit rate in percent between two readings; restarted engines count from 0."""
     hits = lookups = 0
     for old, new in zip(before, after, strict=True):
         is_same = new.hits >= old.hits and new.misses >= old.misses
@@ -78,7 +78,7 @@
 
 
 class Site:
-    """The running processes of one customer, and the baseline proxy in front of the same ones."""
+    """A customer's running deployment, with a baseline proxy for the same backend servers."""
 
     def __init__(self, name: str) -> None:
         self.plan = PLANS[name]
@@ -90,11 +90,11 @@
 
     @property
     def entry_urls(self) -> list[str]:
-        """Where the entries listen."""
+        """The URLs of the entries."""
         return [self.cluster.url(name) for name in self.deployed.entries]
 
     def start(self) -> None:
-        """Start everything, publish the contract and wait until all is linked."""
+        """Start everything, wait for all links, publish the contract and start the baseline."""
         self.deployed.add_customer(self.plan.customer)
         self.deployed.start_platform()
         self.deployed.start_hosts([*self.services, *self.engines])
@@ -119,18 +119,18 @@
         time.sleep(_SETTLE_SECONDS)
 
     def take_versions(self, count: int) -> int:
-        """Return the first of so many weight versions that were never used here."""
+        """Reserve `count` unused versions of weights; return the first."""
         first = self._next_version
         self._next_version += count
         return first
 
     def restart_engine(self, host: deployment.BackendHost) -> None:
-        """Start an engine anew where it listened before."""
+        """Restart an engine on its previous port."""
         port = int(self.cluster.address(host.server_name).rpartition(":")[2])
         self.deployed.start_backend_server(host.name, port)
 
     def count_retries(self, is_ours: bool) -> int:
-        """Return how often requests were sent to another backend server."""
+        """Return the number of retries of the entries or of the baseline."""
         if not is_ours:
             return int(self.cluster.read_control("baseline")["retries"])
         headers = self.deployed.write_headers("operator")
@@ -139,7 +139,7 @@
         return sum(report["counts"].get("requests.retried", 0) for report in reports)
 
     def await_idle(self) -> None:
-        """Wait until nothing of an earlier load waits at the baseline, whose callers are gone."""
+        """Wait until the baseline has run the requests of earlier loads whose callers gave up."""
         processes.wait_until(
             lambda: self.cluster.read_control("baseline")["load"] == 0,
             "the baseline is idle",
@@ -148,14 +148,14 @@
         time.sleep(_SETTLE_SECONDS)
 
     def read_prefixes(self) -> list[Prefixes]:
-        """Return the hits and misses of every engine's prefix cache."""
+        """Return the prefix cache counters of every engine."""
         counts = [
             self.cluster.read_control(host.server_name, "generations=no") for host in self.engines
         ]
         return [Prefixes(item["cache_hits"], item["cache_misses"]) for item in counts]
 
     def count_doubled(self, prefix: str) -> int:
-        """Return how many keys that begin so were run more than once."""
+        """Return how many idempotency keys with a prefix ran more than once."""
         counts = [self.cluster.read_control(host.server_name) for host in self.services]
         runs: dict[str, int] = {}
         for item in counts:
--- a/bench/spread_bench.py
+++ b/bench/spread_bench.py
@@ -1,4 +1,4 @@
-"""Measure how fast and at what cost a change of the configuration comes to be in force."""
+"""Measure the time and the traffic until a configuration change is in force everywhere."""
 
 import dataclasses
 import random
@@ -24,7 +24,7 @@
 
 
 class Gauges:
-    """Receives the processes' metrics, and keeps when each was first at an offset."""
+    """Receives statsd metrics and keeps the configuration offset of each process."""
 
     def __init__(self) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -35,11 +35,11 @@
 
     @property
     def flags(self) -> tuple[str, ...]:
-        """The flags that make a process send its metrics here."""
+        """The flags that direct a process's metrics to this socket."""
         return ("--statsd_host", "127.0.0.1", "--statsd_port", str(self._socket.getsockname()[1]))
 
     def wait_all(self, names: list[str], offset: int) -> float:
-        """Return the time at which the last of the processes was at an offset."""
+        """Wait until all processes have reached an offset; return the monotonic time."""
         deadline = time.monotonic() + _WAIT_SECONDS
         while any(self.offsets.get(name, -1) < offset for name in names):
             if time.monotonic() > deadline:
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """Entries and sidecars, each with a relay to the log, and one sidecar behind a relay."""
+    """Entries and sidecars that reach the log, and are linked, through relays."""
 
     cluster: processes.Cluster
     gauges: Gauges
@@ -74,7 +74,7 @@
     number: int = 0
 
     def put_change(self) -> int:
-        """Append the next contract; return its offset."""
+        """Append a changed contract to the log; return its offset."""
         self.number += 1
         record = records.ContractRecord(create_terms(self.number), self.base, "bench")
         url = f"{self.cluster.url('log')}/streams/{records.STREAM}/records"
@@ -83,17 +83,17 @@
         return self.base
 
     def measure_change(self) -> float:
-        """Return the milliseconds until a change is in force at all."""
+        """Append a change; return the milliseconds until it is in force at every process."""
         started = time.monotonic()
         return (self.gauges.wait_all(self.names, self.put_change()) - started) * 1000
 
     def count_bytes(self, *relays: str) -> int:
-        """Return what passed through relays so far."""
+        """Return the number of bytes forwarded by relays so far."""
         return sum(self.cluster.find_relay(name).bytes_passed for name in relays)
 
 
 def create_terms(number: int) -> contract.Contract:
-    """Return a contract of the size of the examples."""
+    """Return a contract about as large as the examples."""
     operations = tuple(
         contract.Operation(name, "desk", contract.Priority.CRITICAL, True, 2000 + number, 1, False)
         for name in ("booking", "record-lookup", "suggestion", "offer")
@@ -102,7 +102,7 @@
 
 
 def start_fleet(cluster: processes.Cluster, entries: int, sidecars: int, way: str) -> Fleet:
-    """Start everything; without links for the log alone."""
+    """Start a fleet; if `way` is LOG, sidecars are not listed, so that there are no links."""
     gauges = Gauges()
     deployed = deployment.Deployment(cluster)
     deployed.start_platform()
@@ -133,7 +133,7 @@
 
 
 def measure_spread(entries: int, sidecars: int, way: str) -> None:
-    """Print how long changes took, and for both ways what they cost a sidecar and an entry."""
+    """Print how long changes take; print their traffic too, except for peers alone."""
     cluster = processes.Cluster()
     try:
         fleet = start_fleet(cluster, entries, sidecars, way)
@@ -160,7 +160,7 @@
 
 
 def print_cost(fleet: Fleet, entries: int, node: str, relays: tuple[str, ...]) -> None:
-    """Print a node's bytes a second when idle, and the bytes that each change adds."""
+    """Print a process's idle traffic per second and the bytes that each change adds."""
     before = fleet.count_bytes(*relays)
     time.sleep(IDLE_SECONDS)
     idle = (fleet.count_bytes(*relays) - before) / IDLE_SECONDS
@@ -174,7 +174,7 @@
 
 
 def measure_apply() -> None:
-    """Print what a record costs the fold."""
+    """Print the time that the fold takes to apply a record."""
     values = []
     for number in range(APPLIED):
         base = number - 1
@@ -188,7 +188,7 @@
 
 
 def main() -> None:
-    """Print the tables; a shape such as 3+6 as argument measures that alone."""
+    """Print the tables; an argument such as 3+6 (entries+sidecars) selects one shape."""
     measure_apply()
     print("| entries+sidecars | by | median ms | longest ms |\n|---|---|---|---|", flush=True)
     for entries, sidecars in SHAPES:
--- a/bench/step_losses.py
+++ b/bench/step_losses.py
@@ -1,10 +1,10 @@
 """
-Print where the steps of a day lost their time, from the logs of all entries.
+Print how the steps of a day spent their time, from the logs of all entries.
 
 `python bench/step_losses.py LOG [--limit 7.5] [--details]`. LOG holds the entries' log lines, in
 the format of docs/OPERATIONS.md; a number before the JSON object is taken as the time in seconds,
-else the time of day is used. Steps are ranked by the time for which they were open. With
-`--details` the attempts of the item that ended last are listed.
+otherwise the time of day is used. Steps are sorted by the time they were open, longest first.
+`--details` lists the attempts of the item that ended last.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Attempt:
-    """One attempt at an item; times in seconds."""
+    """An attempt at an item; times in seconds."""
 
     item_id: str
     server: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """What the logs tell of one batch; times in seconds, 0 where unknown."""
+    """What the logs contain about one batch; times in seconds, 0 if unknown."""
 
     batch_id: str
     step: int = -1
@@ -53,21 +53,21 @@
 
     @property
     def open_seconds(self):
-        """How long it was open; 0 where its end was not seen."""
+        """How long the step was open, in seconds; 0 if its end was not logged."""
         return max(0.0, self.ended_at - self.submitted_at) if self.ended_at else 0.0
 
     @property
     def whole(self):
-        """The attempts that ended whole, in order of their ends."""
+        """The attempts that produced a complete text, in the order in which they ended."""
         found = [item for item in self.attempts if item.kind == "whole"]
         return sorted(found, key=lambda item: item.ended_at)
 
     def count(self, kind):
-        """Return how many attempts ended so."""
+        """Return how many attempts are of a kind."""
         return sum(item.kind == kind for item in self.attempts)
 
     def find_first_starts(self):
-        """Return when each item was first taken by a server, the earliest first."""
+        """Return the sorted times at which each item was first accepted by a server."""
         first = {}
         for item in self.attempts:
             if item.kind != "refused":
@@ -76,7 +76,7 @@
 
 
 def read_lines(path):
-    """Yield the time and the fields of each line that holds a JSON object."""
+    """Yield the time in seconds and the fields of each line with a JSON object."""
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
             start = line.find("{")
@@ -96,14 +96,14 @@
 
 
 def classify_reason(reason):
-    """Return the kind of outcome that an attempt's logged reason tells."""
+    """Return the kind of an attempt from its logged reason; `whole` without a reason."""
     if not reason:
         return "whole"
     return next((kind for start, kind in _REASON_KINDS if reason.startswith(start)), "broken")
 
 
 def read_steps(path):
-    """Return the steps that the logs tell of, by batch."""
+    """Return the steps found in the logs, by batch."""
     steps = {}
     for at, fields in read_lines(path):
         event = fields.get("event")
@@ -156,7 +156,7 @@
 
 
 def describe_step(step):
-    """Return one row: when what happened, in seconds since the step was accepted."""
+    """Return the row of a step, with times in seconds since its submission."""
     starts = step.find_first_starts()
     whole = [item.ended_at for item in step.whole if item.ended_at <= (step.ended_at or 1e9)]
     since = step.submitted_at
@@ -181,7 +181,7 @@
 
 
 def describe_last(step):
-    """Return the attempts at the item that ended last before the step did."""
+    """Describe the attempts at the last item that was completed before the step ended."""
     whole = [item for item in step.whole if item.ended_at <= step.ended_at]
     if not whole:
         return []
@@ -199,7 +199,7 @@
 
 
 def print_summary(steps, limit):
-    """Print what all steps have in common."""
+    """Print a summary of all steps; `limit` is in seconds."""
     ended = [step for step in steps if step.ended_at and step.submitted_at]
     if not ended:
         print("no step was seen to end")
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop callers: arrivals fixed by a seed, on a bounded pool of threads."""
+"""Open-loop callers: a seed fixes the arrivals, whatever the speed of the answers."""
 
 import collections
 import concurrent.futures
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Flow:
-    """One kind of request, its rate and its worth."""
+    """A kind of request, with its rate per second and worth."""
 
     customer: str
     operation: str
@@ -31,23 +31,23 @@
     is_interactive: bool
     repeatable: bool = True
     max_tokens: int = 0
-    """Above 0 it is a generation."""
+    """Length of the generation; 0 for calls of a plain service."""
     prefixes: int = 1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Behaviour:
-    """What callers do beside asking once."""
+    """How callers behave beyond sending each request once."""
 
     tickets: bool = False
-    """Keys of requests that may not be repeated are issued by the entry beforehand."""
+    """Keys of at-most-once requests are issued by the entry before the load."""
     retries: int = 0
-    """How often a caller asks again at once after a failure."""
+    """How often a caller retries immediately after a failure."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Arrival:
-    """One request to come."""
+    """A planned request; `at` is in seconds after the start."""
 
     at: float
     number: int
@@ -58,7 +58,7 @@
 
 
 class Tally:
-    """What callers saw."""
+    """Outcomes and latencies as seen by the callers."""
 
     def __init__(self) -> None:
         self.offered_worth = 0
@@ -70,7 +70,7 @@
         self._interactive = hdrh.histogram.HdrHistogram(1, _MOST_MS, 3)
 
     def note(self, flow: Flow, outcome: str, taken_ms: float, again: int) -> None:
-        """Take in one request that ended; answers past the deadline count for nothing."""
+        """Record a request that ended; an answer after the deadline has no worth."""
         with self._lock:
             self.sent += 1
             self.again += again
@@ -83,14 +83,14 @@
                 self._interactive.record_value(max(1, min(_MOST_MS, int(taken_ms))))
 
     def read_percentile(self, percentile: float) -> int:
-        """Return a quantile of the answered interactive requests, in milliseconds."""
+        """Return a latency percentile of answered interactive requests, in milliseconds."""
         return int(self._interactive.get_value_at_percentile(percentile))
 
 
 def plan_arrivals(
     flows: tuple[Flow, ...], urls: list[str], seconds: float, seed: int
 ) -> list[Arrival]:
-    """Return Poisson arrivals of every flow in order of time."""
+    """Return the Poisson arrivals of all flows in order of time."""
     source = random.Random(seed)
     arrivals = []
     for index, flow in enumerate(flows):
@@ -110,7 +110,7 @@
 
 
 class Callers:
-    """Sends what was planned, each request at its time however slow the answers are."""
+    """Sends each planned request at its time, however slow the answers are."""
 
     def __init__(self, name: str, behaviour: Behaviour) -> None:
         self._name = name
@@ -118,7 +118,7 @@
         self.tally = Tally()
 
     def prepare(self, arrivals: list[Arrival]) -> list[Arrival]:
-        """Name every request; issued keys are asked for before the load begins."""
+        """Give keys to at-most-once requests; keys issued by the entry are requested here."""
         return [
             dataclasses.replace(item, key=self._create_key(item))
             if not item.flow.repeatable
@@ -127,7 +127,7 @@
         ]
 
     def run(self, arrivals: list[Arrival]) -> None:
-        """Send all; return when the last has its answer."""
+        """Send all requests and wait until the last has ended."""
         started = time.monotonic()
         with concurrent.futures.ThreadPoolExecutor(_MOST_THREADS) as pool:
             for item in arrivals:
--- a/bench/trainers.py
+++ b/bench/trainers.py
@@ -1,4 +1,4 @@
-"""A trainer during a load: the stand-in's for ours, a plain loop for the baseline."""
+"""Trainers that run during a load, for the product and for the baseline."""
 
 import concurrent.futures
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TrainerFigures:
-    """What a trainer received."""
+    """The steps and samples that a trainer received."""
 
     steps: int = 0
     samples: int = 0
@@ -28,7 +28,7 @@
     staleness_max: int = 0
 
     def describe(self, seconds: float) -> dict[str, float]:
-        """Return the part of the time it waited, its samples a second and their staleness."""
+        """Return the idle percentage, the samples per second and their staleness."""
         busy = min(1.0, self.steps * _TRAIN_MS / 1000 / seconds)
         mean = self.staleness_sum / self.samples if self.samples else 0.0
         return {
@@ -40,7 +40,7 @@
 
 
 class OurTrainer:
-    """The stand-in trainer, which checks every promise, pulling from the entries."""
+    """Runs the trainer stand-in, which pulls from the entries and checks every sample."""
 
     def __init__(self, site: sites.Site, extra_flags: tuple[str, ...], number: int) -> None:
         self._site = site
@@ -69,7 +69,7 @@
         )
 
     def stop(self) -> TrainerFigures:
-        """End it and its step, and return what it received in whole steps."""
+        """Kill the trainer, delete its steps and return the figures of its complete steps."""
         self._site.cluster.kill("trainer")
         figures = TrainerFigures()
         for line in self._process.wait_lines():
@@ -89,7 +89,7 @@
 
 
 class BaselineTrainer:
-    """Asks for every sample of a step at once through the proxy, and waits for the slowest."""
+    """Requests all samples of a step at once through the proxy and waits for the slowest."""
 
     def __init__(self, site: sites.Site, straggler_every: int, straggler_tokens: int) -> None:
         self._site = site
@@ -102,7 +102,7 @@
         self._thread.start()
 
     def stop(self) -> TrainerFigures:
-        """End after the step in progress, which does not count."""
+        """Stop after the step in progress, which is not counted."""
         counted = dataclasses.replace(self._figures)
         self._ended.set()
         self._thread.join(_SAMPLE_SECONDS)
@@ -125,7 +125,7 @@
                 self._ended.wait(_TRAIN_MS / 1000)
 
     def _announce(self, version: int, pool: concurrent.futures.ThreadPoolExecutor) -> None:
-        """Order every engine to load at once, and wait for all."""
+        """Order all engines to load a version at the same time, and wait for their answers."""
         model = self._site.plan.engine_group
         store = f"{self._site.cluster.url('weights')}/weights/{model}/{version}"
         client.call("PUT", store, b"weights", {}, 5.0)
@@ -140,7 +140,7 @@
             return
 
     def _make_sample(self, number: tuple[int, int, int]) -> int:
-        """Return the oldest weights that made a sample, asking until there is one."""
+        """Request a sample until it succeeds; return the oldest version that generated it."""
         step, group, index = number
         is_long = self._every and (step * _GROUPS + group + 1) % self._every == 0
         tokens = self._longest if is_long else _MAX_TOKENS
