--- a/programs/generate_pages.py
+++ b/programs/generate_pages.py
@@ -64,14 +64,14 @@
     """Write both pages, or say which one has drifted."""
     pages = {"SETTINGS.md": format_settings(), "METRICS.md": format_metrics()}
     is_check = "--check" in sys.argv
-    drifted = [
+    outdated = [
         name
         for name, text in pages.items()
         if not (_DOCS / name).exists() or (_DOCS / name).read_text() != text
     ]
-    if is_check and drifted:
-        sys.exit(f"docs differ from the tables, run make pages: {', '.join(drifted)}")
-    for name in drifted:
+    if is_check and outdated:
+        sys.exit(f"docs differ from the tables, run make pages: {', '.join(outdated)}")
+    for name in outdated:
         (_DOCS / name).write_text(pages[name])
 
 
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -32,8 +32,8 @@
     reader = configuration_reader.ConfigurationReader(log, trail.record_change)
     result = reader.read_to_end()
     context.output.print_table("record", _RECORD_COLUMNS, trail.list_rows(reader))
-    if trail.dropped:
-        context.output.print_note(f"{trail.dropped} older records are left out")
+    if trail.dropped_count:
+        context.output.print_note(f"{trail.dropped_count} older records are left out")
     if result.is_error():
         context.output.print_note(f"the log can't be read: {result.error.detail}")
         return exit_codes.ExitCode.UNREACHABLE
@@ -49,14 +49,14 @@
         self._customer = customer
         self._records: collections.deque[logservice.Record] = collections.deque()
         self._terms: dict[str, contract.Contract] = {}
-        self.dropped = 0
+        self.dropped_count = 0
 
     def record_change(self, record: logservice.Record) -> None:
         """Keep a record."""
         self._records.append(record)
         if len(self._records) > _MAX_ROWS:
             self._records.popleft()
-            self.dropped += 1
+            self.dropped_count += 1
 
     def list_rows(self, reader: configuration_reader.ConfigurationReader) -> list[output.Row]:
         """Return a row for each record that is about the customer."""
@@ -89,7 +89,7 @@
             case expression.Result(tag="ok", ok=records.ContractRecord() as record):
                 return self._describe_contract(record, verdict)
             case expression.Result(tag="ok", ok=record):
-                return _describe_other(record)
+                return _describe_record_kind(record)
             case _:
                 return f"{_read_text(value, 'kind') or 'a record'} that can't be read"
 
@@ -108,7 +108,7 @@
         return f"contract {record.customer}: {shown}{f'; {more} more' if more > 0 else ''}"
 
 
-def _describe_other(record: records.Record) -> str:
+def _describe_record_kind(record: records.Record) -> str:
     match record:
         case records.VersionRecord():
             return f"version {record.version} of {record.model}"
@@ -128,7 +128,7 @@
     while True:
         match log.read(order_audit.STREAM, offset):
             case expression.Result(tag="ok", ok=page):
-                rows.extend(_list_order(record) for record in page.records)
+                rows.extend(_format_order(record) for record in page.records)
             case expression.Result(error=error):
                 context.output.print_note(f"the orders can't be read: {error.detail}")
                 return exit_codes.ExitCode.UNREACHABLE
@@ -139,7 +139,7 @@
     return exit_codes.ExitCode.OK
 
 
-def _list_order(record: logservice.Record) -> output.Row:
+def _format_order(record: logservice.Record) -> output.Row:
     fields = [_read_text(record.value, name) for name in _ORDER_COLUMNS[2:]]
     return record.offset, _format_time(record.logged_at_ms), *fields
 
--- a/programs/oleanderdeal/oleanderdeal/commands/publish.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publish.py
@@ -55,13 +55,13 @@
 ) -> int:
     match attempt.publish(record):
         case expression.Result(tag="ok", ok=verdict):
-            return _print_verdict(context, verdict, deadline)
+            return _report_verdict(context, verdict, deadline)
         case expression.Result(error=problem):
             context.output.print_note(problem)
             return exit_codes.ExitCode.UNREACHABLE
 
 
-def _print_verdict(
+def _report_verdict(
     context: operator_context.OperatorContext,
     verdict: in_force.Verdict,
     deadline: clock.Deadline,
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -36,18 +36,18 @@
         and the others are void.
         """
         self._nonce = record.nonce
-        may_stand = False
+        may_be_appended = False
         while True:
             match self._log.append_once(records.STREAM, record.to_value()):
                 case expression.Result(tag="ok"):
                     return self._await_verdict()
                 case expression.Result(error=error):
-                    may_stand = may_stand or error.may_have_effect
-            verdict = self._read_verdict() if may_stand else None
+                    may_be_appended = may_be_appended or error.may_have_effect
+            verdict = self._read_verdict() if may_be_appended else None
             if verdict is not None:
                 return expression.Ok(verdict)
             if self._log.is_expired:
-                return expression.Error(_describe_failure(error, may_stand))
+                return expression.Error(_describe_failure(error, may_be_appended))
             self._log.wait(error.retry_after_ms)
 
     def _await_verdict(self) -> expression.Result[in_force.Verdict, str]:
@@ -73,8 +73,8 @@
             self._own_offset = record.offset
 
 
-def _describe_failure(error: logservice.LogError, may_stand: bool) -> str:
-    if not may_stand:
+def _describe_failure(error: logservice.LogError, may_be_appended: bool) -> str:
+    if not may_be_appended:
         return f"not published: {error.detail}"
     return (
         f"not known whether it was published: {error.detail}. It may still take effect;"
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -50,10 +50,10 @@
         problems.append(f"no promises are shown: {problem}")
     contracts = {terms.customer: terms for terms in reader.fold.list_contracts()}
     wanted = context.settings.customer
-    printed = _Report(counts, contracts, wanted)
-    context.output.print_table("customer", _CUSTOMER_COLUMNS, printed.list_customers())
-    context.output.print_table("operation", _OPERATION_COLUMNS, printed.list_operations())
-    context.output.print_table("trainer", _TRAINER_COLUMNS, printed.list_trainers())
+    report = _Report(counts, contracts, wanted)
+    context.output.print_table("customer", _CUSTOMER_COLUMNS, report.list_customers())
+    context.output.print_table("operation", _OPERATION_COLUMNS, report.list_operations())
+    context.output.print_table("trainer", _TRAINER_COLUMNS, report.list_trainers())
     for line in problems:
         context.output.print_note(line)
     return exit_codes.ExitCode.UNREACHABLE if problems else exit_codes.ExitCode.OK
--- a/programs/oleanderdeal/oleanderdeal/commands/show.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/show.py
@@ -39,7 +39,7 @@
     ]
     _print_contracts(context.output, shown)
     if not wanted:
-        rows = [_list_version(version) for version in reader.fold.list_versions()]
+        rows = [_format_version(version) for version in reader.fold.list_versions()]
         context.output.print_table("version", _VERSION_COLUMNS, rows)
     if not shown:
         context.output.print_note(f"no contract is in force{f' for {wanted}' if wanted else ''}")
@@ -47,27 +47,27 @@
 
 
 def _print_contracts(printer: output.Output, shown: list[in_force.InForce]) -> None:
-    printer.print_table("contract", _CONTRACT_COLUMNS, [_list_contract(item) for item in shown])
+    printer.print_table("contract", _CONTRACT_COLUMNS, [_format_contract(item) for item in shown])
     operations = [
-        _list_operation(item.contract.customer, operation)
+        _format_operation(item.contract.customer, operation)
         for item in shown
         for operation in item.contract.operations
     ]
     printer.print_table("operation", _OPERATION_COLUMNS, operations)
     trainers = [
-        _list_trainer(item.contract.customer, trainer)
+        _format_trainer(item.contract.customer, trainer)
         for item in shown
         for trainer in item.contract.trainers
     ]
     printer.print_table("trainer", _TRAINER_COLUMNS, trainers)
 
 
-def _list_contract(item: in_force.InForce) -> output.Row:
+def _format_contract(item: in_force.InForce) -> output.Row:
     terms = item.contract
     return terms.customer, item.offset, item.by, terms.share_percent, terms.retry_percent
 
 
-def _list_operation(customer: str, operation: contract.Operation) -> output.Row:
+def _format_operation(customer: str, operation: contract.Operation) -> output.Row:
     return (
         customer,
         operation.name,
@@ -80,7 +80,7 @@
     )
 
 
-def _list_trainer(customer: str, trainer: contract.TrainerTerms) -> output.Row:
+def _format_trainer(customer: str, trainer: contract.TrainerTerms) -> output.Row:
     return (
         customer,
         trainer.name,
@@ -92,5 +92,5 @@
     )
 
 
-def _list_version(version: in_force.ModelVersion) -> output.Row:
+def _format_version(version: in_force.ModelVersion) -> output.Row:
     return version.model, version.version, version.offset, version.by, version.uri
