--- a/programs/build_binary.py
+++ b/programs/build_binary.py
@@ -1,4 +1,4 @@
-"""Build the one-file program: a zipapp of pure Python that needs no writable disk."""
+"""Build the single-file program: a zipapp of pure Python that needs no writable disk."""
 
 import pathlib
 import shutil
@@ -17,10 +17,10 @@
 
 def install_packages() -> None:
     """
-    Put the pinned packages into the stage, pure wheels only.
+    Install the pinned packages from pure-Python wheels, unless the pins are unchanged.
 
-    Compiled parts can't be loaded from inside an archive, so pip is asked for wheels that have
-    none; a package that stops offering one fails the build here rather than at the first start.
+    Extension modules can't be imported from an archive. pip therefore accepts only wheels without
+    them, so that a package that offers none fails the build and not the program's first start.
     """
     pinned = _REQUIREMENTS.read_text()
     if _INSTALLED_REQUIREMENTS.exists() and _INSTALLED_REQUIREMENTS.read_text() == pinned:
@@ -50,7 +50,7 @@
 
 
 def copy_sources() -> None:
-    """Put the workspace's own packages into the stage."""
+    """Copy the workspace's own packages to the staging folder."""
     roots = [*sorted((_ROOT / "libs").iterdir()), _ROOT / "programs" / "oleanderdeal"]
     for root in roots:
         for package in root.iterdir():
@@ -60,7 +60,7 @@
 
 
 def remove_unused_files() -> None:
-    """Drop compiled parts, which can't be loaded from an archive, and metadata."""
+    """Remove extension modules, which can't be imported from an archive, metadata and tests."""
     for pattern in _REMOVED_PATTERNS:
         for path in list(_STAGING.rglob(pattern)):
             if path.is_dir():
@@ -70,7 +70,7 @@
 
 
 def main() -> None:
-    """Build dist/oleanderdeal."""
+    """Build the executable archive dist/oleanderdeal."""
     shutil.rmtree(_STAGING, ignore_errors=True)
     _TARGET.parent.mkdir(exist_ok=True)
     _STAGING.parent.mkdir(exist_ok=True)
--- a/programs/generate_pages.py
+++ b/programs/generate_pages.py
@@ -1,4 +1,4 @@
-"""Write the pages that are made from tables in the code; `--check` only tells drift."""
+"""Generate the pages of settings and metrics; `--check` only reports whether they are outdated."""
 
 import pathlib
 import sys
@@ -9,14 +9,16 @@
 _DOCS = pathlib.Path(__file__).resolve().parent.parent / "docs"
 _SETTINGS_HEADER = """# Settings
 
-Made from the table in `setting_table.py` by `make pages`. Each setting is a flag `--name` and an
-environment variable; the flag goes first. All are checked together at the start, and every fault is
-reported with its source. An unknown flag or variable with our prefix is an error that names the nearest.
+Generated from the table in `setting_table.py` by `make pages`. Each setting is a flag `--name` and an
+environment variable; the flag overrides the variable. All are checked at the start, and every fault is
+reported with its flag or variable. An unknown flag, or an unknown variable with the program's prefix, is an
+error that names the most similar one.
 """
 _METRICS_HEADER = """# Metrics
 
-Made from the table in `metrics.py` by `make pages`. Sent by UDP in statsd's form to `--statsd_host`, named
-`oleanderdeal.ROLE.NAME.` and what stands below. Counts are kept in memory too; `report` reads them.
+Generated from the table in `metrics.py` by `make pages`. Metrics are sent over UDP in the statsd format to
+`--statsd_host`, with the prefix `oleanderdeal.ROLE.NAME.` before the names below. Counters are also kept in
+memory, where `report` reads them.
 """
 _ALERTS = """
 ## Alerts to start with
@@ -33,7 +35,7 @@
 
 
 def format_settings() -> str:
-    """Return the page of settings."""
+    """Return the page of settings as Markdown, with a table for each command."""
     lines = [_SETTINGS_HEADER]
     for command in setting_table.Command:
         lines += [f"## oleanderdeal {command}", "", help_texts.summarize(command), ""]
@@ -50,7 +52,7 @@
 
 
 def format_metrics() -> str:
-    """Return the page of metrics."""
+    """Return the page of metrics as Markdown, with the recommended alerts."""
     lines = [_METRICS_HEADER, "| name | type | unit | meaning | when it moves |"]
     lines.append("|---|---|---|---|---|")
     for item in metrics.list_metrics():
@@ -61,7 +63,7 @@
 
 
 def main() -> None:
-    """Write both pages, or say which one has drifted."""
+    """Write outdated pages; with `--check`, name them and exit with status 1 instead."""
     pages = {"SETTINGS.md": format_settings(), "METRICS.md": format_metrics()}
     is_check = "--check" in sys.argv
     outdated = [
--- a/programs/oleanderdeal/oleanderdeal/commands/__init__.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' commands, one module each."""
+"""Implementations of the operators' commands."""
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -1,4 +1,4 @@
-"""`audit`: every change, by whom, and what became of it."""
+"""Command `audit`: prints every change of the configuration, its author and its verdict."""
 
 import collections
 import datetime
@@ -26,7 +26,7 @@
 
 
 def run_audit(context: operator_context.OperatorContext) -> int:
-    """Print the trail of the configuration, and of the orders to engines."""
+    """Print the audit trail; orders to engines only if no customer was chosen."""
     log = context.open_log(context.start_deadline())
     trail = _AuditTrail(context.settings.customer)
     reader = configuration_reader.ConfigurationReader(log, trail.record_change)
@@ -43,7 +43,7 @@
 
 
 class _AuditTrail:
-    """The newest records of the configuration, bounded; older ones are dropped and counted."""
+    """Newest `_MAX_ROWS` records of the configuration; older ones are dropped and counted."""
 
     def __init__(self, customer: str) -> None:
         self._customer = customer
@@ -52,14 +52,14 @@
         self.dropped_count = 0
 
     def record_change(self, record: logservice.Record) -> None:
-        """Keep a record."""
+        """Add a record, and drop the oldest one if the limit is exceeded."""
         self._records.append(record)
         if len(self._records) > _MAX_ROWS:
             self._records.popleft()
             self.dropped_count += 1
 
     def list_rows(self, reader: configuration_reader.ConfigurationReader) -> list[output.Row]:
-        """Return a row for each record that is about the customer."""
+        """Return a row for each record about the chosen customer, or for all without one."""
         rows = []
         for record in self._records:
             verdict = reader.fold.find_verdict(record.offset)
@@ -96,7 +96,7 @@
     def _describe_contract(
         self, record: records.ContractRecord, verdict: in_force.Verdict | None
     ) -> str:
-        """Describe a contract by what it changes, which is known once one was accepted."""
+        """Describe the differences to the last accepted contract, if an earlier one was seen."""
         before = self._terms.get(record.customer)
         if verdict is not None and verdict.decision is in_force.Decision.ACCEPTED:
             self._terms[record.customer] = record.contract
@@ -122,7 +122,7 @@
 
 
 def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
-    """Print the orders to engines; a stream that nobody wrote to is empty."""
+    """Print the orders to engines, oldest first; a stream without any records reads as empty."""
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MAX_ROWS)
     offset = 0
     while True:
@@ -150,7 +150,7 @@
 
 
 def _format_time(milliseconds: int) -> str:
-    """Return the log's own time, in UTC; for people to read only."""
+    """Format a log timestamp in UTC; one out of range is returned as its number of ms."""
     try:
         moment = datetime.datetime.fromtimestamp(milliseconds / 1000, datetime.UTC)
     except (ValueError, OverflowError, OSError):
--- a/programs/oleanderdeal/oleanderdeal/commands/check.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/check.py
@@ -1,4 +1,4 @@
-"""`check`: read a contract as `publish` would, and publish nothing."""
+"""Command `check`: validates a contract as `publish` does, without publishing it."""
 
 import expression
 
@@ -7,7 +7,7 @@
 
 
 def run_check(context: operator_context.OperatorContext) -> int:
-    """Print what is wrong with a contract, or that nothing is."""
+    """Print every fault of a contract, or a message that it has none."""
     match contract_file.read_contract_file(context):
         case expression.Result(tag="ok", ok=terms):
             context.output.print_note(f"the contract of {terms.customer} has no faults")
--- a/programs/oleanderdeal/oleanderdeal/commands/contract_file.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/contract_file.py
@@ -1,4 +1,4 @@
-"""Reads the contract that a command was given."""
+"""Reader of the contract that `--file` names."""
 
 import expression
 
@@ -12,10 +12,10 @@
 def read_contract_file(
     context: operator_context.OperatorContext,
 ) -> readers.ContractResult:
-    """Return the contract of the file, or every fault in it."""
+    """Return the contract in the file or on standard input, or every fault in it."""
     path = context.settings.file
     if path == _STANDARD_INPUT:
-        # One letter more than is allowed is enough to see that the text is too long.
+        # One character above the limit suffices to detect that the text is too long.
         return readers.read_contract(context.source.read(readers.MOST_BYTES + 1), "stdin")
     try:
         with open(path, encoding="utf-8") as file:
@@ -27,6 +27,6 @@
 
 
 def print_findings(context: operator_context.OperatorContext, found: findings.Findings) -> None:
-    """Print every fault with its place."""
+    """Print a table of the faults, with the place of each in the contract."""
     rows = [(item.place, item.problem, item.fix) for item in found.items]
     context.output.print_table("finding", ("place", "problem", "fix"), rows)
--- a/programs/oleanderdeal/oleanderdeal/commands/propagation.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/propagation.py
@@ -1,4 +1,4 @@
-"""Asks entries until they have applied a record."""
+"""Check of which entries have applied a configuration record."""
 
 import expression
 
@@ -14,9 +14,13 @@
 def print_propagation(
     context: operator_context.OperatorContext, offset: int, deadline: clock.Deadline
 ) -> int:
-    """Ask every entry until all have the record or the time is up, and print how many have."""
+    """
+    Ask the entries until all have applied the record at `offset` or the deadline passes.
+
+    Print the answer of each entry and how many have applied it.
+    """
     if not context.settings.entries:
-        context.output.print_note("give --entries to hear where it is in force")
+        context.output.print_note("give --entries to see on which entries it is in force")
         return exit_codes.ExitCode.OK
     answers: dict[str, _Answer] = {}
     while True:
--- a/programs/oleanderdeal/oleanderdeal/commands/publish.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publish.py
@@ -1,4 +1,4 @@
-"""`publish`: put a contract in force, and see that it is."""
+"""Command `publish`: puts a contract in force and checks which entries have applied it."""
 
 import expression
 
@@ -9,7 +9,7 @@
 
 
 def run_publish(context: operator_context.OperatorContext) -> int:
-    """Check, append, read the verdict, and ask the entries."""
+    """Validate a contract, append it, read its verdict back and ask the entries about it."""
     match contract_file.read_contract_file(context):
         case expression.Result(tag="ok", ok=terms):
             return _publish_terms(context, terms)
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -1,4 +1,4 @@
-"""Appends a record and finds out what became of it."""
+"""Publisher of contracts that determines whether an appended record took effect."""
 
 import expression
 
@@ -11,8 +11,8 @@
     """
     Publishes one contract.
 
-    An answer that was lost tells nothing, so only what the stream holds counts: the record's nonce
-    tells it from all others, also where it took effect twice or late.
+    A lost answer leaves open whether the append took effect, so only the records in the stream
+    count. The record is identified by its nonce, even if it was appended twice or late.
     """
 
     def __init__(self, log: retrying_log.RetryingLog) -> None:
@@ -22,7 +22,7 @@
         self._own_offset: int | None = None
 
     def read_current(self, customer: str) -> expression.Result[in_force.InForce | None, str]:
-        """Return the customer's contract in force now, or what hinders."""
+        """Return the customer's contract in force, or why the log can't tell."""
         problem = self._reader.find_problem()
         if problem:
             return expression.Error(problem)
@@ -30,10 +30,10 @@
 
     def publish(self, record: records.ContractRecord) -> expression.Result[in_force.Verdict, str]:
         """
-        Append until the stream holds the record, and return the verdict on it.
+        Append a record until the stream holds it, and return the verdict on it.
 
-        Appending again is safe: the record names its base, so of several copies the first decides
-        and the others are void.
+        Repeated appends are safe: the record names the offset of the contract that it replaces, so
+        the first copy decides and all others are void. Return a message if the deadline passes.
         """
         self._nonce = record.nonce
         may_be_appended = False
@@ -51,7 +51,7 @@
             self._log.wait(error.retry_after_ms)
 
     def _await_verdict(self) -> expression.Result[in_force.Verdict, str]:
-        """Read until the record that was appended has come back."""
+        """Read the stream until it returns the appended record or the deadline passes."""
         while True:
             verdict = self._read_verdict()
             if verdict is not None:
@@ -61,7 +61,7 @@
             self._log.wait()
 
     def _read_verdict(self) -> in_force.Verdict | None:
-        """Read what is new, and return the verdict on the first copy of our record."""
+        """Read new records, and return the verdict on the first copy of the own one, if any."""
         self._reader.read_to_end()
         if self._own_offset is None:
             return None
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -1,4 +1,4 @@
-"""`report`: what each customer received, against what its contract promised."""
+"""Command `report`: compares the service that customers received with their contracts."""
 
 import expression
 
@@ -40,7 +40,7 @@
 
 
 def run_report(context: operator_context.OperatorContext) -> int:
-    """Print what the entries counted since they started, next to the contracts in force."""
+    """Print the entries' counts since their start, beside the terms of contracts in force."""
     deadline = context.start_deadline()
     counts = service_counts.ServiceCounts()
     problems = _collect_counts(context, counts, deadline)
@@ -64,7 +64,7 @@
     counts: service_counts.ServiceCounts,
     deadline: clock.Deadline,
 ) -> list[str]:
-    """Add every entry's counts; return which entries did not give theirs."""
+    """Add up the entries' counts; return a message for each entry that could not be read."""
     problems = []
     for url in context.settings.entries:
         match context.entries.read_report(url, deadline.cap(_CALL_TIMEOUT_SECONDS)):
@@ -100,13 +100,17 @@
                 self._trainers.setdefault(key, service_counts.TrainerCounts())
 
     def list_customers(self) -> list[output.Row]:
-        """Return a row for each customer, with its service weighted by worth."""
+        """
+        Return a row for each customer.
+
+        Its service is the percentage of requests answered in time, weighted by their worth.
+        """
         keys = [*self._operations, *self._trainers]
         customers = sorted({customer for customer, _ in keys} | set(self._contracts))
         return [self._list_customer(customer) for customer in customers]
 
     def list_operations(self) -> list[output.Row]:
-        """Return a row for each operation."""
+        """Return a row of counts for each operation, with its terms."""
         return [
             (
                 *key,
@@ -124,7 +128,7 @@
         ]
 
     def list_trainers(self) -> list[output.Row]:
-        """Return a row for each trainer."""
+        """Return a row of counts for each trainer, with its terms."""
         return [
             (
                 *key,
--- a/programs/oleanderdeal/oleanderdeal/commands/service_counts.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/service_counts.py
@@ -1,4 +1,4 @@
-"""The counts of all entries, sorted by customer, operation and trainer."""
+"""Sums of the entries' counters per customer and operation, and per customer and trainer."""
 
 import collections
 import dataclasses
@@ -10,25 +10,25 @@
 
 @dataclasses.dataclass(slots=True)
 class OperationCounts:
-    """What became of one customer's requests of one kind."""
+    """Counts of one operation's requests, by outcome."""
 
     answered: int = 0
-    """Answered in time."""
+    """Requests that were answered in time."""
     late: int = 0
     unknown: int = 0
     failed: int = 0
     refused: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    """Refused as not run, by reason."""
+    """Requests that were refused without being run, by reason."""
 
     @property
     def requests(self) -> int:
-        """Every request."""
+        """Number of requests of all outcomes."""
         return self.answered + self.late + self.unknown + self.failed + self.refused.total()
 
 
 @dataclasses.dataclass(slots=True)
 class TrainerCounts:
-    """What one trainer got."""
+    """Counts of one trainer's samples and of its idle time."""
 
     delivered: int = 0
     stale: int = 0
@@ -41,7 +41,7 @@
 
 
 class ServiceCounts:
-    """Counts added up over entries; bounded by what one answer of an entry may hold."""
+    """Counts summed over entries; their number is bounded by the size of an entry's answer."""
 
     def __init__(self) -> None:
         self._operations: dict[tuple[str, str], OperationCounts] = {}
@@ -49,16 +49,16 @@
 
     @property
     def operations(self) -> dict[tuple[str, str], OperationCounts]:
-        """Counts by customer and operation."""
+        """Counts by (customer, operation)."""
         return self._operations
 
     @property
     def trainers(self) -> dict[tuple[str, str], TrainerCounts]:
-        """Counts by customer and trainer."""
+        """Counts by (customer, trainer)."""
         return self._trainers
 
     def add(self, counts: dict[str, int]) -> None:
-        """Add one entry's counts; names that are not about customers are passed over."""
+        """Add one entry's counters, by metric name; ignore those that are not per customer."""
         for name, amount in counts.items():
             parts = name.split(".")
             if parts[0] != _PREFIX or len(parts) < 4:
--- a/programs/oleanderdeal/oleanderdeal/commands/show.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/show.py
@@ -1,4 +1,4 @@
-"""`show`: what is in force, as the log tells."""
+"""Command `show`: prints the configuration in force according to the log."""
 
 from oleander_contracts import contract, in_force
 from oleanderdeal import configuration_reader, exit_codes, operator_context, output
@@ -27,7 +27,7 @@
 
 
 def run_show(context: operator_context.OperatorContext) -> int:
-    """Print the contracts and the weight versions in force."""
+    """Print the contracts in force; weight versions only if no customer was chosen."""
     reader = configuration_reader.ConfigurationReader(context.open_log(context.start_deadline()))
     problem = reader.find_problem()
     if problem:
