--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -1,4 +1,4 @@
-"""`audit`: every change, by whom, and what became of it."""
+"""Command `audit`: prints every change of the configuration, its author and its verdict."""
 
 import collections
 import datetime
@@ -26,14 +26,14 @@
 
 
 def run_audit(context: operator_context.OperatorContext) -> int:
-    """Print the trail of the configuration, and of the orders to engines."""
+    """Print the audit trail; orders to engines only if no customer was chosen."""
     log = context.open_log(context.start_deadline())
     trail = _AuditTrail(context.settings.customer)
     reader = configuration_reader.ConfigurationReader(log, trail.record_change)
     result = reader.read_to_end()
     context.output.print_table("record", _RECORD_COLUMNS, trail.list_rows(reader))
-    if trail.dropped:
-        context.output.print_note(f"{trail.dropped} older records are left out")
+    if trail.dropped_count:
+        context.output.print_note(f"{trail.dropped_count} older records are left out")
     if result.is_error():
         context.output.print_note(f"the log can't be read: {result.error.detail}")
         return exit_codes.ExitCode.UNREACHABLE
@@ -43,23 +43,23 @@
 
 
 class _AuditTrail:
-    """The newest records of the configuration, bounded; older ones are dropped and counted."""
+    """Newest `_MAX_ROWS` records of the configuration; older ones are dropped and counted."""
 
     def __init__(self, customer: str) -> None:
         self._customer = customer
         self._records: collections.deque[logservice.Record] = collections.deque()
         self._terms: dict[str, contract.Contract] = {}
-        self.dropped = 0
+        self.dropped_count = 0
 
     def record_change(self, record: logservice.Record) -> None:
-        """Keep a record."""
+        """Add a record, and drop the oldest one if the limit is exceeded."""
         self._records.append(record)
         if len(self._records) > _MAX_ROWS:
             self._records.popleft()
-            self.dropped += 1
+            self.dropped_count += 1
 
     def list_rows(self, reader: configuration_reader.ConfigurationReader) -> list[output.Row]:
-        """Return a row for each record that is about the customer."""
+        """Return a row for each record about the chosen customer, or for all without one."""
         rows = []
         for record in self._records:
             verdict = reader.fold.find_verdict(record.offset)
@@ -89,14 +89,14 @@
             case expression.Result(tag="ok", ok=records.ContractRecord() as record):
                 return self._describe_contract(record, verdict)
             case expression.Result(tag="ok", ok=record):
-                return _describe_other(record)
+                return _describe_record_kind(record)
             case _:
                 return f"{_read_text(value, 'kind') or 'a record'} that can't be read"
 
     def _describe_contract(
         self, record: records.ContractRecord, verdict: in_force.Verdict | None
     ) -> str:
-        """Describe a contract by what it changes, which is known once one was accepted."""
+        """Describe the differences to the last accepted contract, if an earlier one was seen."""
         before = self._terms.get(record.customer)
         if verdict is not None and verdict.decision is in_force.Decision.ACCEPTED:
             self._terms[record.customer] = record.contract
@@ -108,7 +108,7 @@
         return f"contract {record.customer}: {shown}{f'; {more} more' if more > 0 else ''}"
 
 
-def _describe_other(record: records.Record) -> str:
+def _describe_record_kind(record: records.Record) -> str:
     match record:
         case records.VersionRecord():
             return f"version {record.version} of {record.model}"
@@ -122,13 +122,13 @@
 
 
 def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
-    """Print the orders to engines; a stream that nobody wrote to is empty."""
+    """Print the orders to engines, oldest first; a stream without any records reads as empty."""
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MAX_ROWS)
     offset = 0
     while True:
         match log.read(order_audit.STREAM, offset):
             case expression.Result(tag="ok", ok=page):
-                rows.extend(_list_order(record) for record in page.records)
+                rows.extend(_format_order(record) for record in page.records)
             case expression.Result(error=error):
                 context.output.print_note(f"the orders can't be read: {error.detail}")
                 return exit_codes.ExitCode.UNREACHABLE
@@ -139,7 +139,7 @@
     return exit_codes.ExitCode.OK
 
 
-def _list_order(record: logservice.Record) -> output.Row:
+def _format_order(record: logservice.Record) -> output.Row:
     fields = [_read_text(record.value, name) for name in _ORDER_COLUMNS[2:]]
     return record.offset, _format_time(record.logged_at_ms), *fields
 
@@ -150,7 +150,7 @@
 
 
 def _format_time(milliseconds: int) -> str:
-    """Return the log's own time, in UTC; for people to read only."""
+    """Format a log timestamp in UTC; one out of range is returned as its number of ms."""
     try:
         moment = datetime.datetime.fromtimestamp(milliseconds / 1000, datetime.UTC)
     except (ValueError, OverflowError, OSError):
