--- a/libs/base/oleander_base/metrics.py
+++ b/libs/base/oleander_base/metrics.py
@@ -43,7 +43,7 @@
     "counter",
     "count",
     "Requests refused as not run.",
-    "Compare with the load; add backend servers or lower a share.",
+    "Compare with load; add backend servers or lower a share.",
 )
 UNKNOWN = _declare(
     "requests.unknown",
@@ -70,14 +70,14 @@
     "servers.ended",
     "counter",
     "count",
-    "Attempts that failed because the backend server ended.",
-    "Group the log lines of event attempt by request: a request that recurs ends its servers.",
+    "Attempts that a backend server broke off by ending.",
+    "Group the log lines of event attempt by request: one that recurs ends its servers.",
 )
 CRASHES = _declare(
     "crashes.recorded",
     "counter",
     "count",
-    "Backend servers that ended while they ran a request that had never been answered.",
+    "Backend servers that ended under a request that had not been answered before.",
     "See the log lines of event crash: they name the request and the server.",
 )
 LOAD_CRASHES = _declare(
@@ -91,8 +91,8 @@
     "requests.quarantined",
     "counter",
     "count",
-    "Requests no longer sent to backend servers, as servers ended while they ran them.",
-    "Find the request by its digest in the log lines of event crash, and its sender.",
+    "Requests kept from backend servers because servers ended under them.",
+    "Find the request by its digest in the log lines of event crash, and whoever sends it.",
 )
 LOG_FAILED_CALLS = _declare(
     "log.failed_calls",
@@ -108,11 +108,11 @@
     "samples.stale",
     "counter",
     "count",
-    "Samples dropped because their weights were older than the staleness bound.",
+    "Samples dropped as older than the bound.",
     "Shorten steps or raise the bound in the contract.",
 )
 SAMPLES_REMADE = _declare(
-    "samples.remade", "counter", "count", "Samples generated again.", "As for samples.stale."
+    "samples.remade", "counter", "count", "Samples generated anew.", "As for samples.stale."
 )
 QUEUE_DEPTH = _declare(
     "queue.depth", "gauge", "requests", "Requests waiting at a sidecar.", "Add servers."
@@ -133,7 +133,7 @@
     "Compare p99 with the timeouts of the contracts.",
 )
 SAMPLES_RUNNING = _declare(
-    "samples.running", "gauge", "samples", "Samples that an entry has in flight.", "None."
+    "samples.running", "gauge", "samples", "Samples that an entry has in the making.", "None."
 )
 CONFIGURATION_OFFSET = _declare(
     "configuration.offset",
@@ -146,7 +146,7 @@
     "weights.version",
     "gauge",
     "version",
-    "The weight version that the engine confirmed; -1 if unknown.",
+    "The version that the engine confirmed; -1 in doubt.",
     "An engine that stays at -1 or behind gets no work: see the orders in the audit trail.",
 )
 
@@ -158,13 +158,13 @@
     "counter",
     "count",
     "Attempts that an engine refused as not run.",
-    "A steady rise means that engines are full or constantly load weights.",
+    "A steady rise: engines are full or load weights all the time.",
 )
 ITEMS_BROKEN = _declare(
     "items.broken",
     "counter",
     "count",
-    "Attempts that were interrupted or failed.",
+    "Attempts that broke off or failed.",
     "Look for the engine in the log lines of event item.",
 )
 ITEM_MS = _declare(
@@ -183,15 +183,15 @@
     "orders.held",
     "gauge",
     "partitions",
-    "Partitions of backend servers to which this process may give load orders.",
-    "Over all processes the sum is the number of partitions; if lower for long, some are unowned.",
+    "Partitions of backend servers that this process may order.",
+    "Over all processes the sum is the number of partitions; less for long: nobody claims.",
 )
 USAGE_REPORTS = _declare(
     "usage.reports",
     "counter",
     "count",
-    "Usage reports sent, including repeated ones.",
-    "One per window over all processes; if there are none for long, no process holds the lease.",
+    "Reports of use that were sent, repeats among them.",
+    "Over all processes one for each window; none for long: nobody holds the lease.",
 )
 LOG_CALL_MS = _declare(
     "log.ms", "timer", "ms", "How long a call to the platform's log took.", "As log.failed_calls."
