--- a/features/access.feature
+++ b/features/access.feature
@@ -1,6 +1,6 @@
-Feature: Who is let in
+Feature: Access by token
 
-  Scenario Outline: A token opens its own customer's doors and no others
+  Scenario Outline: A token gives access to its own customer only, an operator's to every customer
     Given an access table of catania=one, catania=two, caroni=three, operator=boss
     Then access to <customer> with <authorization> is <result>
 
@@ -18,6 +18,6 @@
       | catania  | Basic one     | no-token  |
       | catania  | one           | no-token  |
 
-  Scenario: Without any token nobody is let in
+  Scenario: Without configured tokens every access is forbidden
     Given an access table of nobody
     Then access to catania with Bearer one is forbidden
--- a/features/operator.feature
+++ b/features/operator.feature
@@ -1,13 +1,13 @@
 Feature: Operators' commands
-  Operators publish contracts, race each other, and read back what is in force and what was delivered.
+  Operators publish contracts, also concurrently, and read what is in force and what was delivered.
 
   Background:
     Given an operator's log and two entries
 
-  Scenario Outline: A publisher learns the fate of its record, whatever became of the answer
-    # The log refuses, or its answer is lost before or after the record took effect, or the record
-    # takes effect late, after it was appended again; or another operator is first. Only what the
-    # stream holds tells. The first copy decides, so appending again can't publish twice.
+  Scenario Outline: A publisher learns the verdict on its record even if the answer is lost
+    # The log refuses an append, its answer is lost before or after the record took effect, the record
+    # takes effect late, after it was appended again, or another operator is first. Only the records in
+    # the stream are certain. The first copy decides, so appending again can't publish twice.
     Given the operator's log will answer appends with <appends>
     When the operator runs publish with share 60
     Then the operator's exit status is <status> and the output tells <told>
@@ -24,9 +24,9 @@
       | second                     | 3      | void: based on no contract, but offset 0 by bo is in force    | 2       | 7     |
       | refused, second            | 3      | void: based on no contract, but offset 0 by bo is in force    | 2       | 7     |
 
-  Scenario Outline: A publisher that gives up tells whether its record may still take effect
-    # The log fails until the operator's time is up. If every append was refused, nothing stands in
-    # the log; otherwise one of them may still appear, and saying "not published" could be false.
+  Scenario Outline: A publisher that gives up says whether its record may still take effect
+    # The log fails until the command's deadline. If every append was refused, the record is not in the
+    # log; otherwise one of the appends may still take effect, and "not published" could be false.
     Given the operator's log fails every append with <failure>
     When the operator runs publish with share 60 for 1 ms
     Then the operator's exit status is 4 and the output tells <told>
@@ -36,12 +36,12 @@
       | refused  | not published: down                      |
       | vanished | not known whether it was published: timed out |
 
-  Scenario: A log that can't be read leaves everything as it is
+  Scenario: Nothing is published if the log can't be read
     Given the operator's log is down
     When the operator runs publish with share 60 for 1 ms
     Then the operator's exit status is 4 and the output tells not published: the log can't be read: down
 
-  Scenario: Publishing the same again changes nothing, and a change is shown field by field
+  Scenario: Publishing the same contract again changes nothing, and a change is shown by field
     When the operator runs publish with share 60
     And the operator runs publish with share 60
     Then the operator's exit status is 0 and the output tells in force already, at offset 0
@@ -49,7 +49,7 @@
     Then the operator's exit status is 0 and the output tells share_percent  60        30
     And the operator's log holds 2 records and share 30 is in force
 
-  Scenario Outline: The publisher says on how many entries the contract is in force
+  Scenario Outline: The publisher prints on how many entries the contract is in force
     Given the operator's entries answer <answers>
     When the operator runs publish with share 60 for <time> ms
     Then the operator's exit status is 0 and the output tells in force on <count> of 2 entries
@@ -67,7 +67,7 @@
     Then the operator's exit status is 1 and the output tells stdin:1:39 share_percent  101 is outside 1 to 100
     And the operator's log holds 0 records and share none is in force
 
-  Scenario Outline: Check tells the same faults, without a log
+  Scenario Outline: Check reports the same faults as publish, without a log
     Given the operator's log is down
     When the operator runs check with share <share>
     Then the operator's exit status is <status> and the output tells <told>
@@ -77,13 +77,13 @@
       | 60    | 0      | the contract of desk has no faults |
       | 0     | 1      | stdin:1:39 share_percent  0 is outside 1 to 100 |
 
-  Scenario: A contract file that isn't there is a finding
+  Scenario: A missing contract file is reported as a finding
     When the operator runs check with the file /nowhere
     Then the operator's exit status is 1 and the output tells /nowhere
 
-  Scenario Outline: What the log tells after retention has taken its beginning
-    # The records that put the contract in force are gone. With a snapshot that covers them it is
-    # known; without one, nothing is claimed.
+  Scenario Outline: The commands on a log whose oldest records were deleted by retention
+    # The records that put the contract in force are gone. A snapshot that covers them still tells which
+    # contract is in force; without one, the commands must not claim to know.
     Given the operator's log holds two contracts and then <then>, and begins at 2
     When the operator runs <command>
     Then the operator's exit status is <status> and the output tells <told>
@@ -96,7 +96,7 @@
       | a version         | audit   | 0      | version 1 of art        not known |
       | a snapshot        | audit   | 0      | snapshot through 1        ignored |
 
-  Scenario: The audit trail tells when, who, what, on which base, and why not
+  Scenario: The audit trail shows time, author, change, base, verdict and reason
     When the operator runs publish with share 60
     And the operator runs publish with share 30
     And another operator's record based on nothing arrives late
@@ -115,7 +115,7 @@
       0       1970-01-01T00:00:00.000Z  desk-1  art    7        12       loaded
       """
 
-  Scenario: The report sets what was received against what was promised
+  Scenario: The report compares the service received with the contract
     Given the operator's entries counted
       | entry | name                                  | count |
       | 0     | customer.desk.booking.answered        | 90    |
@@ -149,7 +149,7 @@
 
       """
 
-  Scenario Outline: A report that lacks something says so
+  Scenario Outline: A report without an entry's counts or without contracts says what is missing
     Given the operator's entries answer <answers>
     And the operator's log is <log>
     When the operator runs report
@@ -160,12 +160,12 @@
       | down; 0 | up   | 4      | without http://127.0.0.1:1, which can't be reached |
       | 0; 0    | down | 4      | no promises are shown: the log can't be read: down |
 
-  Scenario: Every line is JSON where programs read it
+  Scenario: With --json every line of the output is JSON
     When the operator runs publish with share 60
     And the operator runs show as JSON
     Then every line of the operator's output is JSON, and one is of kind contract with share_percent 60
 
-  Scenario Outline: What an entry answers over HTTP
+  Scenario Outline: The client reports an entry's HTTP answer, or what is wrong with it
     Given an entry at a port of its own that answers <answer>
     When the operator's client asks it for its configuration
     Then the operator's client finds <result>
@@ -179,9 +179,9 @@
       | 403 {}                               | answered 403                 |
       | nothing                              | can't be reached: RemoteDisconnected: Remote end closed connection without response |
 
-  Scenario: The commands against separate processes
-    # The same program that runs as entry and sidecar reads and writes the real streams. Once the
-    # log is gone the publisher says so; what the entries counted can still be read.
+  Scenario: The commands work with separate processes
+    # The program that also runs as entry and sidecar reads and writes the real streams. After the log
+    # is killed the publisher reports it, and the counts of the entries can still be read.
     Given an operator's deployment of separate processes
     When the operator starts the program with publish of catania.yaml
     Then the started program ended with 0 and printed in force on 2 of 2 entries
@@ -198,7 +198,7 @@
     When the operator starts the program with report
     Then the started program ended with 4 and printed catania booking no contract 1 1 100.0
 
-  Scenario Outline: The program's own exit status
+  Scenario Outline: The program's exit status and output for its command line
     When the program is run with <arguments>
     Then the program's exit status is <status> and it prints <told>
 
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -1,4 +1,4 @@
-"""Steps for access by token."""
+"""Steps for access control by bearer token."""
 
 import behave
 
--- a/features/steps/http_drain_steps.py
+++ b/features/steps/http_drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an HTTP server that stops."""
+"""Steps for draining and stopping the HTTP server."""
 
 import select
 import socket
@@ -19,7 +19,7 @@
 
 
 class SlowHandler(http_server.Handler):
-    """Takes a while for each request."""
+    """Handler that takes `_WORK_SECONDS` for each request."""
 
     def handle(self, request):
         time.sleep(_WORK_SECONDS)
@@ -27,7 +27,7 @@
 
 
 def _receive(client):
-    """Return all bytes until the server closes the connection."""
+    """Return everything received until the server closes the connection."""
     received = b""
     while piece := client.recv(65536):
         received += piece
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps for operators' commands."""
+"""Steps for the operators' commands, with a log in memory, fake entries or real processes."""
 
 import contextlib
 import http.server
@@ -40,7 +40,7 @@
 
 
 class _FakeEntries(entry_clients.EntryClient):
-    """Entries that answer by plan; the last answer of a plan stays."""
+    """Entries that give the planned answers in turn; the last one is repeated."""
 
     def __init__(self):
         self.plans = {url: ["9"] for url in _ENTRIES}
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for settings."""
+"""Steps for reading settings from flags and environment variables."""
 
 import dataclasses
 
