--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -87,7 +87,7 @@
     attributes = [field.name for field in dataclasses.fields(settings.Settings)]
     assert sorted(attributes) == sorted(["command", *(item.name for item in setting_table.TABLE)])
     for setting in setting_table.TABLE:
-        for command in setting.roles:
+        for command in setting.commands:
             text = help_texts.format_command_help(command)
             assert f"  {setting.flag}  (" in text
             assert f"variable: {setting.variable}\n" in text
--- a/programs/oleanderdeal/oleanderdeal/exit_codes.py
+++ b/programs/oleanderdeal/oleanderdeal/exit_codes.py
@@ -11,7 +11,7 @@
     USAGE = 2
     VOID = 3
     UNREACHABLE = 4
-    CUT = 5
+    DRAIN_TIMED_OUT = 5
 
 
 MEANINGS: dict[ExitCode, str] = {
@@ -20,5 +20,5 @@
     ExitCode.USAGE: "bad command line, variable or setting",
     ExitCode.VOID: "void: another publisher was first",
     ExitCode.UNREACHABLE: "the platform or an entry can't be reached; what was printed is partial",
-    ExitCode.CUT: "stopped at the drain bound with requests in progress",
+    ExitCode.DRAIN_TIMED_OUT: "stopped at the drain bound with requests in progress",
 }
--- a/programs/oleanderdeal/oleanderdeal/setting_table.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_table.py
@@ -64,7 +64,7 @@
     low: int
     high: int
     """With `low`, the inclusive bounds of a number or of a text's length in characters."""
-    roles: tuple[Command, ...]
+    commands: tuple[Command, ...]
     help: str
     choices: tuple[enum.StrEnum, ...] = ()
 
@@ -271,4 +271,4 @@
 
 def list_settings(command: Command) -> tuple[Setting, ...]:
     """Return the settings that a command has."""
-    return tuple(setting for setting in TABLE if command in setting.roles)
+    return tuple(setting for setting in TABLE if command in setting.commands)
--- a/programs/oleanderdeal/oleanderdeal/settings.py
+++ b/programs/oleanderdeal/oleanderdeal/settings.py
@@ -138,7 +138,7 @@
 def _suggest_flag(flag: str, known: collections.abc.Sequence[setting_table.Setting]) -> str:
     for setting in _TABLE:
         if setting.flag == flag:
-            return f"it belongs to {', '.join(setting.roles)}"
+            return f"it belongs to {', '.join(setting.commands)}"
     return suggest_nearest(flag, [setting.flag for setting in known])
 
 
@@ -171,7 +171,7 @@
     found: list[findings.Finding],
 ) -> typing.Any:
     """Return the parsed value or the default; add a finding and return None if it is faulty."""
-    source = given.get(setting.name) if command in setting.roles else None
+    source = given.get(setting.name) if command in setting.commands else None
     if source is None:
         return _choose_default(setting, command, found)
     result = setting_values.read_value(setting, source.text)
@@ -188,7 +188,7 @@
     found: list[findings.Finding],
 ) -> typing.Any:
     if setting.default is None:
-        if command in setting.roles:
+        if command in setting.commands:
             fix = f"or set {setting.variable}"
             found.append(findings.Finding(setting.flag, "must be given", fix))
         return None if setting.kind is setting_table.Kind.CHOICE else ""
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -104,7 +104,7 @@
             log.logger.bind(event="drain-cut").error(
                 "drain deadline passed, stopping with requests in progress"
             )
-        return exit_codes.ExitCode.OK if is_complete else exit_codes.ExitCode.CUT
+        return exit_codes.ExitCode.OK if is_complete else exit_codes.ExitCode.DRAIN_TIMED_OUT
 
     def close(self) -> bool:
         """Close every link and end the tasks; return whether all tasks ended in time."""
