--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -150,7 +150,7 @@
 
 
 def _format_time(milliseconds: int) -> str:
-    """Format a log timestamp in UTC; one out of range is returned as its number of ms."""
+    """Format a log timestamp in UTC for display; one out of range is shown as its number of ms."""
     try:
         moment = datetime.datetime.fromtimestamp(milliseconds / 1000, datetime.UTC)
     except (ValueError, OverflowError, OSError):
--- a/programs/oleanderdeal/oleanderdeal/exit_codes.py
+++ b/programs/oleanderdeal/oleanderdeal/exit_codes.py
@@ -20,5 +20,5 @@
     ExitCode.USAGE: "bad command line, variable or setting",
     ExitCode.VOID: "void: another publisher was first",
     ExitCode.UNREACHABLE: "the platform or an entry can't be reached; what was printed is partial",
-    ExitCode.DRAIN_TIMED_OUT: "stopped at the drain bound with requests in progress",
+    ExitCode.DRAIN_TIMED_OUT: "ended when --drain_ms was over, with requests still in progress",
 }
--- a/programs/oleanderdeal/oleanderdeal/operator_context.py
+++ b/programs/oleanderdeal/oleanderdeal/operator_context.py
@@ -20,6 +20,7 @@
     """None for a command that does not use the log."""
     entries: entry_clients.EntryClient
     source: typing.TextIO
+    """Standard input, from which a contract can be read."""
     output: output.Output
     pause: Pause
     """Sleeps for a number of seconds."""
