--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -16,8 +16,8 @@
 from oleander_standins import client, server
 
 _REPORT_SECONDS = 0.3
-_ATTEMPTS = 3
-_QUEUE_SECONDS = 10.0
+_MAX_ATTEMPTS = 3
+_QUEUE_TIMEOUT_SECONDS = 10.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,7 +55,7 @@
                 self._free -= 1
                 return True
             self._waiting.append(turn)
-        concurrent.futures.wait([turn], _QUEUE_SECONDS)
+        concurrent.futures.wait([turn], _QUEUE_TIMEOUT_SECONDS)
         with self._lock:
             if not turn.done():
                 self._waiting.remove(turn)
@@ -111,7 +111,7 @@
         terms = self._operations[operation]
         queues = self._groups[terms["backend"]]
         tried: list[Queue] = []
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             if attempt:
                 with self.changed:
                     self._retries += 1
--- a/bench/cost_peers.py
+++ b/bench/cost_peers.py
@@ -10,10 +10,10 @@
 from oleander_wire import link, messages
 
 _HOST = "127.0.0.1"
-_MOST_BYTES = 65536
+_MAX_READ_BYTES = 65536
 _PIECE_TOKENS = 4
-_RECEIVE_SECONDS = 0.2
-_DIAL_SECONDS = 3.0
+_RECEIVE_TIMEOUT_SECONDS = 0.2
+_DIAL_TIMEOUT_SECONDS = 3.0
 
 
 class CountingRelay:
@@ -46,7 +46,7 @@
     def _join(self, near: socket.socket) -> None:
         host, _, port = self._target.rpartition(":")
         try:
-            far = socket.create_connection((host, int(port)), _DIAL_SECONDS)
+            far = socket.create_connection((host, int(port)), _DIAL_TIMEOUT_SECONDS)
         except OSError:
             near.close()
             return
@@ -57,7 +57,7 @@
 
     def _pump(self, source: socket.socket, sink: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            while data := source.recv(_MOST_BYTES):
+            while data := source.recv(_MAX_READ_BYTES):
                 with self._lock:
                     self.bytes += len(data)
                 sink.sendall(data)
@@ -85,7 +85,7 @@
         self._server.stop()
 
     def _serve(self, opened: link.Link) -> None:
-        opened.receive(clock.start_deadline(_DIAL_SECONDS))
+        opened.receive(clock.start_deadline(_DIAL_TIMEOUT_SECONDS))
         hello = messages.Hello(
             messages.PROTOCOL, self.name, self._incarnation, "a", deployment.PROCESS_TOKEN
         )
@@ -125,7 +125,7 @@
     def __init__(self, number: int, address: str) -> None:
         self.answers = 0
         self.incarnation = ""
-        self._link = link.dial_link(address, clock.start_deadline(_DIAL_SECONDS)).ok
+        self._link = link.dial_link(address, clock.start_deadline(_DIAL_TIMEOUT_SECONDS)).ok
         self._link.send(
             messages.Hello(
                 messages.PROTOCOL,
@@ -138,7 +138,7 @@
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._read, daemon=True)
         self._thread.start()
-        give_up_at = time.monotonic() + _DIAL_SECONDS
+        give_up_at = time.monotonic() + _DIAL_TIMEOUT_SECONDS
         while not self.incarnation and time.monotonic() < give_up_at:
             time.sleep(0.01)
 
@@ -150,11 +150,11 @@
         """Close the link."""
         self._stopped.set()
         self._link.abort()
-        self._thread.join(_DIAL_SECONDS)
+        self._thread.join(_DIAL_TIMEOUT_SECONDS)
 
     def _read(self) -> None:
         while not self._stopped.is_set():
-            received = self._link.receive(clock.start_deadline(_RECEIVE_SECONDS))
+            received = self._link.receive(clock.start_deadline(_RECEIVE_TIMEOUT_SECONDS))
             if received.is_error():
                 return
             match received.ok:
--- a/bench/cost_probe.py
+++ b/bench/cost_probe.py
@@ -11,8 +11,8 @@
 
 import cost_peers
 
-_TICKS = os.sysconf("SC_CLK_TCK")
-_MOST_CALLERS = 8
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+_MAX_CALLERS = 8
 _SETTLE_SECONDS = 0.7
 
 
@@ -61,7 +61,7 @@
         act: collections.abc.Callable[[int], object] | None = None,
     ) -> Reading:
         """Measure while `act` is called at a rate; `units` is the value of the varied quantity."""
-        with concurrent.futures.ThreadPoolExecutor(_MOST_CALLERS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(_MAX_CALLERS) as pool:
             self._drive(pool, _SETTLE_SECONDS, per_second, act)
             cpu, count = read_cpu_ms(self._pid), self._count_bytes()
             started = time.monotonic()
@@ -95,7 +95,7 @@
 def read_cpu_ms(pid: int) -> float:
     """Return the CPU time of a process in user and system mode, in milliseconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * 1000 / _TICKS
+    return (int(fields[11]) + int(fields[12])) * 1000 / _TICKS_PER_SECOND
 
 
 def read_resident_kib(pid: int) -> float:
--- a/bench/policy_admission.py
+++ b/bench/policy_admission.py
@@ -12,8 +12,8 @@
 from oleander_contracts import contract
 
 _SHARES = {"a": 50, "b": 30, "c": 20}
-_PLACES = 200
-_FEW_PLACES = 20
+_QUEUE_LENGTH = 200
+_SHORT_QUEUE_LENGTH = 20
 """A queue length that makes 250 ms of waiting, which is within the shortest deadline."""
 _COST_MS = 50.0
 _CAPACITY = policy_queues.SLOTS / (_COST_MS / 1000)
@@ -114,19 +114,19 @@
 
 
 def _create_fifo(_: policy_simulation.Simulation) -> policy_queues.Queue:
-    return policy_queues.FifoQueue(_PLACES)
+    return policy_queues.FifoQueue(_QUEUE_LENGTH)
 
 
 def _create_short(_: policy_simulation.Simulation) -> policy_queues.Queue:
-    return policy_queues.FifoQueue(_FEW_PLACES)
+    return policy_queues.FifoQueue(_SHORT_QUEUE_LENGTH)
 
 
 def _create_strict(_: policy_simulation.Simulation) -> policy_queues.Queue:
-    return policy_queues.StrictQueue(_PLACES)
+    return policy_queues.StrictQueue(_QUEUE_LENGTH)
 
 
 def _create_ours(simulation: policy_simulation.Simulation) -> policy_queues.Queue:
-    return policy_queues.OurQueue(simulation, _PLACES)
+    return policy_queues.OurQueue(simulation, _QUEUE_LENGTH)
 
 
 def measure_shares() -> list[policy_simulation.Figure]:
--- a/bench/policy_choosers.py
+++ b/bench/policy_choosers.py
@@ -25,11 +25,11 @@
         """Handle a server's load report."""
 
     @abc.abstractmethod
-    def note_started(self, name: str) -> None:
+    def record_started(self, name: str) -> None:
         """Record that a request was sent to a server."""
 
     @abc.abstractmethod
-    def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
+    def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
         """Record that a request to a server ended."""
 
 
@@ -49,10 +49,10 @@
         """Store the reported load."""
         self._loads[name] = outstanding
 
-    def note_started(self, name: str) -> None:
+    def record_started(self, name: str) -> None:
         """Count nothing."""
 
-    def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
+    def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
         """Count nothing."""
 
 
@@ -71,11 +71,11 @@
         """Return the less loaded of two."""
         return min(self._source.sample(list(self._loads), 2), key=lambda name: self._loads[name])
 
-    def note_started(self, name: str) -> None:
+    def record_started(self, name: str) -> None:
         """Increment the server's load."""
         self._loads[name] += 1
 
-    def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
+    def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
         """Decrement the server's load."""
         self._loads[name] -= 1
 
@@ -127,11 +127,11 @@
         )
         self._router.update(name, report)
 
-    def note_started(self, name: str) -> None:
+    def record_started(self, name: str) -> None:
         """Pass the start to the router."""
         self._router.record_started(name)
 
-    def note_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
+    def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
         """Pass the outcome to the router, or only that the request ended if it must not judge."""
         outcome = router.RouteOutcome.OK if succeeded else router.RouteOutcome.FAILED
         if not self._judges:
--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -161,11 +161,11 @@
         )
         chooser = self._source.choice(self._choosers)
         name = chooser.choose(request.prefix)
-        chooser.note_started(name)
+        chooser.record_started(name)
 
         def ended(succeeded: bool) -> None:
             (self.ended if succeeded else self.failed).append(request)
-            chooser.note_finished(name, succeeded, request.latency_ms)
+            chooser.record_finished(name, succeeded, request.latency_ms)
 
         self.servers[name].accept(request, ended)
 
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -11,13 +11,13 @@
 _SERVICE_SECONDS = 0.01
 """Service time of the only server, which `_RATE` uses to four fifths of its capacity."""
 _TIMEOUT_SECONDS = 1.0
-_MOST_RETRIES = 3
-_DIP_FROM = 20.0
-_DIP_UNTIL = 30.0
-_DIP_SLOWDOWN = 4.0
+_MAX_RETRIES = 3
+_SLOW_FROM = 20.0
+_SLOW_UNTIL = 30.0
+_SLOW_FACTOR = 4.0
 _END = 122.0
-_BASE_MS = 100
-_MOST_MS = 1000
+_BASE_BACKOFF_MS = 100
+_MAX_BACKOFF_MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -74,11 +74,13 @@
         self._simulation.schedule(_TIMEOUT_SECONDS, lambda: self._give_up(request, tried))
 
     def _give_up(self, request: _Request, tried: int) -> None:
-        if request.answered or tried > _MOST_RETRIES:
+        if request.answered or tried > _MAX_RETRIES:
             return
         if self._budget is not None and not self._budget.try_spend():
             return
-        wait_ms = retries.compute_backoff(tried - 1, _BASE_MS, _MOST_MS, self._source)
+        wait_ms = retries.compute_backoff(
+            tried - 1, _BASE_BACKOFF_MS, _MAX_BACKOFF_MS, self._source
+        )
         self._simulation.schedule(wait_ms / 1000, lambda: self._send(request))
 
     def _start_next(self) -> None:
@@ -86,8 +88,8 @@
             return
         self._is_busy = True
         request, sent_at = self._waiting.popleft()
-        is_slow = _DIP_FROM <= self._simulation.now < _DIP_UNTIL
-        seconds = _SERVICE_SECONDS * (_DIP_SLOWDOWN if is_slow else 1.0)
+        is_slow = _SLOW_FROM <= self._simulation.now < _SLOW_UNTIL
+        seconds = _SERVICE_SECONDS * (_SLOW_FACTOR if is_slow else 1.0)
 
         def end() -> None:
             self._is_busy = False
@@ -109,19 +111,19 @@
         policy_simulation.Figure(
             case,
             "tries a request, fault and 30 s on",
-            baseline.count_tries(_DIP_FROM, _DIP_UNTIL + 30),
-            ours.count_tries(_DIP_FROM, _DIP_UNTIL + 30),
+            baseline.count_tries(_SLOW_FROM, _SLOW_UNTIL + 30),
+            ours.count_tries(_SLOW_FROM, _SLOW_UNTIL + 30),
         ),
         policy_simulation.Figure(
             case,
             "answered 30 to 60 s after it, %",
-            baseline.count_answered(_DIP_UNTIL + 30, _DIP_UNTIL + 60),
-            ours.count_answered(_DIP_UNTIL + 30, _DIP_UNTIL + 60),
+            baseline.count_answered(_SLOW_UNTIL + 30, _SLOW_UNTIL + 60),
+            ours.count_answered(_SLOW_UNTIL + 30, _SLOW_UNTIL + 60),
         ),
         policy_simulation.Figure(
             case,
             "answered 60 to 90 s after it, %",
-            baseline.count_answered(_DIP_UNTIL + 60, _DIP_UNTIL + 90),
-            ours.count_answered(_DIP_UNTIL + 60, _DIP_UNTIL + 90),
+            baseline.count_answered(_SLOW_UNTIL + 60, _SLOW_UNTIL + 90),
+            ours.count_answered(_SLOW_UNTIL + 60, _SLOW_UNTIL + 90),
         ),
     ]
--- a/bench/samples_cost.py
+++ b/bench/samples_cost.py
@@ -12,7 +12,7 @@
 PIECES = 20
 PIECE_TOKENS = 20
 PIECE_TEXT = "x" * 80
-LEFT = 2048
+RUNNING_SAMPLES = 2048
 """Number of samples still running when the collector looks for stragglers."""
 
 
@@ -71,15 +71,17 @@
             source.record_progress(work.work_id, PIECE_TEXT, PIECE_TOKENS, 7)
     watch.print_each("take in a piece", total * PIECES)
     watch = Stopwatch()
-    for work in works[LEFT:]:
+    for work in works[RUNNING_SAMPLES:]:
         source.finish_work(work.work_id)
-    watch.print_each("finish work", total - LEFT)
+    watch.print_each("finish work", total - RUNNING_SAMPLES)
     for now, found in ((15.0, "none"), (40.0, "all")):
         Clock.now = now
         watch = Stopwatch()
         source.next_work()
-        watch.print_each(f"look at {LEFT} attempts, once a second at most; {found} late", 1)
-    measure_pulls(source, sorted(work.number for work in works[LEFT:]))
+        watch.print_each(
+            f"look at {RUNNING_SAMPLES} attempts, once a second at most; {found} late", 1
+        )
+    measure_pulls(source, sorted(work.number for work in works[RUNNING_SAMPLES:]))
     print(f"\nA collector of {total} samples, without texts: {size >> 10} KiB")
 
 
--- a/bench/samples_outage.py
+++ b/bench/samples_outage.py
@@ -7,7 +7,7 @@
 import samples_simulation as simulation
 from oleander_samples import pulls
 
-MOST_PULLED = 64
+MAX_PULLED_SAMPLES = 64
 STEPS = 4
 OUTAGE_FROM = 100.0
 TRAIN_SECONDS = 20.0
@@ -28,7 +28,7 @@
         """Pull, record and deliver finished samples until the step is complete."""
         if entry.collector is None:
             return
-        request = pulls.Pull(1, self.version, frozenset(self.held), 0, MOST_PULLED)
+        request = pulls.Pull(1, self.version, frozenset(self.held), 0, MAX_PULLED_SAMPLES)
         answer = entry.collector.pull(request, 0.0).ok
         entry.dispatch()
         delay = self._record() if answer.samples else simulation.PULL_SECONDS
--- a/bench/samples_simulation.py
+++ b/bench/samples_simulation.py
@@ -13,7 +13,7 @@
 SEEDS = (1, 2, 3, 4, 5)
 PULL_SECONDS = 0.5
 _POLL_SECONDS = 0.5
-_MOST_SECONDS = 100_000.0
+_MAX_SIMULATED_SECONDS = 100_000.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -78,7 +78,7 @@
         """Run events until a condition is true."""
         while not is_over():
             self.now, _, action = heapq.heappop(self._events)
-            if self.now > _MOST_SECONDS:
+            if self.now > _MAX_SIMULATED_SECONDS:
                 raise RuntimeError("the simulated step does not end")
             action()
 
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -14,7 +14,7 @@
 _EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "docs" / "examples"
 _ENTRIES = 3
 _SETTLE_SECONDS = 1.0
-_IDLE_SECONDS = 30.0
+_IDLE_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -143,7 +143,7 @@
         processes.wait_until(
             lambda: self.cluster.read_control("baseline")["load"] == 0,
             "the baseline is idle",
-            _IDLE_SECONDS,
+            _IDLE_TIMEOUT_SECONDS,
         )
         time.sleep(_SETTLE_SECONDS)
 
--- a/bench/spread_bench.py
+++ b/bench/spread_bench.py
@@ -18,8 +18,8 @@
 COST_PAUSE_SECONDS = 0.5
 APPLIED = 5000
 LOG, PEERS, BOTH = "log alone", "peers alone", "both"
-_WAIT_SECONDS = 60.0
-_MOST_DATAGRAM = 65536
+_WAIT_TIMEOUT_SECONDS = 60.0
+_MAX_DATAGRAM_BYTES = 65536
 _GAUGE = "configuration.offset:"
 
 
@@ -40,7 +40,7 @@
 
     def wait_all(self, names: list[str], offset: int) -> float:
         """Wait until all processes have reached an offset; return the monotonic time."""
-        deadline = time.monotonic() + _WAIT_SECONDS
+        deadline = time.monotonic() + _WAIT_TIMEOUT_SECONDS
         while any(self.offsets.get(name, -1) < offset for name in names):
             if time.monotonic() > deadline:
                 raise TimeoutError(f"{offset} is not everywhere: {self.offsets}")
@@ -53,7 +53,7 @@
 
     def _receive(self) -> None:
         try:
-            text = self._socket.recv(_MOST_DATAGRAM).decode()
+            text = self._socket.recv(_MAX_DATAGRAM_BYTES).decode()
         except TimeoutError:
             return
         for line in text.splitlines():
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -14,8 +14,8 @@
 
 from oleander_standins import client
 
-_MOST_THREADS = 300
-_MOST_MS = 120_000
+_MAX_THREADS = 300
+_MAX_RECORDED_MS = 120_000
 _GRACE_SECONDS = 0.5
 
 
@@ -67,9 +67,9 @@
         self.again = 0
         self.outcomes: collections.Counter[str] = collections.Counter()
         self._lock = threading.Lock()
-        self._interactive = hdrh.histogram.HdrHistogram(1, _MOST_MS, 3)
+        self._interactive = hdrh.histogram.HdrHistogram(1, _MAX_RECORDED_MS, 3)
 
-    def note(self, flow: Flow, outcome: str, taken_ms: float, again: int) -> None:
+    def record(self, flow: Flow, outcome: str, taken_ms: float, again: int) -> None:
         """Record a request that ended; an answer after the deadline has no worth."""
         with self._lock:
             self.sent += 1
@@ -80,7 +80,7 @@
             if outcome == "done" and not is_late:
                 self.good_worth += flow.worth
             if outcome == "done" and flow.is_interactive:
-                self._interactive.record_value(max(1, min(_MOST_MS, int(taken_ms))))
+                self._interactive.record_value(max(1, min(_MAX_RECORDED_MS, int(taken_ms))))
 
     def read_percentile(self, percentile: float) -> int:
         """Return a latency percentile of answered interactive requests, in milliseconds."""
@@ -129,7 +129,7 @@
     def run(self, arrivals: list[Arrival]) -> None:
         """Send all requests and wait until the last has ended."""
         started = time.monotonic()
-        with concurrent.futures.ThreadPoolExecutor(_MOST_THREADS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(_MAX_THREADS) as pool:
             for item in arrivals:
                 time.sleep(max(0.0, started + item.at - time.monotonic()))
                 pool.submit(self._send, item, started + item.at)
@@ -149,7 +149,7 @@
             if outcome == "done" or is_over:
                 break
             again += 1
-        self.tally.note(item.flow, outcome, (time.monotonic() - due) * 1000, again)
+        self.tally.record(item.flow, outcome, (time.monotonic() - due) * 1000, again)
 
     def _call(self, item: Arrival, give_up_at: float) -> str:
         left = give_up_at - time.monotonic()
--- a/bench/trainers.py
+++ b/bench/trainers.py
@@ -14,8 +14,8 @@
 _SAMPLES = 6
 _MAX_TOKENS = 48
 _TRAIN_MS = 300
-_MOST_STEPS = 500
-_SAMPLE_SECONDS = 30.0
+_MAX_STEPS = 500
+_SAMPLE_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,13 +45,13 @@
     def __init__(self, site: sites.Site, extra_flags: tuple[str, ...], number: int) -> None:
         self._site = site
         plan = site.plan
-        self._first = site.take_versions(_MOST_STEPS)
+        self._first = site.take_versions(_MAX_STEPS)
         flags = ["--customer", plan.customer, "--token", f"token-of-{plan.customer}"]
         flags += ["--trainer", plan.engine_group, "--model", plan.engine_group]
         for url in site.entry_urls:
             flags += ["--entry", url]
         numbers = {
-            "steps": _MOST_STEPS,
+            "steps": _MAX_STEPS,
             "first-step": self._first,
             "groups": _GROUPS,
             "samples": _SAMPLES,
@@ -95,7 +95,7 @@
         self._site = site
         self._every = straggler_every
         self._longest = straggler_tokens
-        self._first = site.take_versions(_MOST_STEPS)
+        self._first = site.take_versions(_MAX_STEPS)
         self._figures = TrainerFigures()
         self._ended = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -105,12 +105,12 @@
         """Stop after the step in progress, which is not counted."""
         counted = dataclasses.replace(self._figures)
         self._ended.set()
-        self._thread.join(_SAMPLE_SECONDS)
+        self._thread.join(_SAMPLE_TIMEOUT_SECONDS)
         return counted
 
     def _run(self) -> None:
         with concurrent.futures.ThreadPoolExecutor(_GROUPS * _SAMPLES) as pool:
-            for step in range(_MOST_STEPS):
+            for step in range(_MAX_STEPS):
                 version = self._first + step
                 self._announce(version, pool)
                 numbers = [(step, group, k) for group in range(_GROUPS) for k in range(_SAMPLES)]
@@ -135,7 +135,7 @@
 
     def _load(self, url: str, order: bytes) -> None:
         try:
-            client.call("POST", url, order, {}, _SAMPLE_SECONDS)
+            client.call("POST", url, order, {}, _SAMPLE_TIMEOUT_SECONDS)
         except (OSError, http.client.HTTPException):
             return
 
@@ -152,7 +152,7 @@
             headers = {"Trace-Id": f"{name} {index} {time.monotonic_ns()}"}
             try:
                 content = json.dumps(body).encode()
-                answer = client.call("POST", url, content, headers, _SAMPLE_SECONDS)
+                answer = client.call("POST", url, content, headers, _SAMPLE_TIMEOUT_SECONDS)
             except (OSError, http.client.HTTPException):
                 continue
             if answer.status == 200:
