--- a/features/fake_entry.py
+++ b/features/fake_entry.py
@@ -8,7 +8,7 @@
 from oleander_standins import server, tokens
 
 _VERSION = 5
-_MOST_A_PULL = 5
+_MAX_SAMPLES_PER_PULL = 5
 _POLL_SECONDS = 0.02
 
 
@@ -49,23 +49,23 @@
 
     def _answer_step(self, exchange, number):
         self.puts += 1
-        if self._strikes("refused"):
+        if self._take_fault("refused"):
             exchange.send_json(503, {"retry_after_ms": 10})
-        elif self._strikes("superseded"):
+        elif self._take_fault("superseded"):
             exchange.send_json(409, {"reason": "superseded"})
         else:
             self._step = {"step": number} | exchange.read_object()
             exchange.send_json(200, {"step": number, "collector": self.url, "samples": 0})
 
     def _answer_pull(self, exchange):
-        if self._strikes("unknown step"):
+        if self._take_fault("unknown step"):
             exchange.send_json(404, {"reason": "step-unknown"})
-        elif self._strikes("dropped"):
+        elif self._take_fault("dropped"):
             exchange.drop()
         else:
             body = json.dumps(self._create_answer(exchange.read_object())).encode()
             digest = base64.b64encode(hashlib.sha256(body).digest()).decode()
-            if self._strikes("wrong digest"):
+            if self._take_fault("wrong digest"):
                 digest = "AAAA"
             headers = {"Content-Digest": f"sha-256=:{digest}:"}
             exchange.send_bytes(200, body, headers)
@@ -73,16 +73,16 @@
     def _create_answer(self, pull):
         held = _read_held(pull["held"])
         left = [item for item in self._create_samples() if item["number"] not in held]
-        sent = left[:_MOST_A_PULL]
+        sent = left[:_MAX_SAMPLES_PER_PULL]
         complete = len(sent) == len(left)
-        if held and self._strikes("twice"):
+        if held and self._take_fault("twice"):
             sent.append(next(item for item in self._create_samples() if item["number"] in held))
-        if self._strikes("early complete"):
+        if self._take_fault("early complete"):
             complete = True
-        if self._strikes("malformed"):
+        if self._take_fault("malformed"):
             sent = [7]
-        if sent and self.fault in _SPOILS and self._strikes(self.fault):
-            sent[0] |= _SPOILS[self._struck]
+        if sent and self.fault in _SAMPLE_FAULTS and self._take_fault(self.fault):
+            sent[0] |= _SAMPLE_FAULTS[self._taken_fault]
         return {
             "step": self._step["step"],
             "version": pull["version"],
@@ -103,15 +103,15 @@
             label.append({"version": _VERSION, "tokens": length - 1})
             yield {"number": number, "group": index, "text": text, "label": label}
 
-    def _strikes(self, fault):
+    def _take_fault(self, fault):
         if self.fault != fault:
             return False
-        self._struck = self.fault
+        self._taken_fault = self.fault
         self.fault = ""
         return True
 
 
-_SPOILS = {
+_SAMPLE_FAULTS = {
     "stale": {"label": [{"version": _VERSION - 2, "tokens": 8}]},
     "version to come": {"label": [{"version": _VERSION + 1, "tokens": 8}]},
     "no tokens": {"label": [{"version": _VERSION, "tokens": 8}, {"version": 4, "tokens": 0}]},
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -10,9 +10,9 @@
 import support
 from oleander_standins import tokens
 
-_SECONDS = 10.0
+_TIMEOUT_SECONDS = 10.0
 _STREAM = "/streams/s/records"
-_FAILURES = (OSError, http.client.HTTPException)
+_CALL_ERRORS = (OSError, http.client.HTTPException)
 
 
 def _run_async(context, task, *arguments):
@@ -60,7 +60,7 @@
     reading = _run_async(context, _call, context, "GET", f"{_STREAM}?offset=0&wait_ms=9000")
     support.wait_until(lambda: _read_counts(context)["reads"] == 1, "the read arrived")
     append_records(context, "0")
-    context.page = reading.result(_SECONDS).read_json()
+    context.page = reading.result(_TIMEOUT_SECONDS).read_json()
 
 
 @behave.then("the waiting read of the stand-in log has offset {offset:d}")
@@ -137,7 +137,7 @@
 @behave.then("each call gets its own answer from the stand-in service")
 def check_answers(context):
     for number, (key, future) in enumerate(context.calls):
-        answer = future.result(_SECONDS).read_json()
+        answer = future.result(_TIMEOUT_SECONDS).read_json()
         digest = hashlib.sha256(str(number).encode()).hexdigest()
         assert (answer["key"], answer["digest"]) == (key, digest), answer
 
@@ -228,7 +228,7 @@
         context.cluster.control("engine", **{fault: 1})
     context.load = _order_load(context, version, 9)
     context.cluster.control("engine", pause_after=0)
-    context.pieces = generation.result(_SECONDS)
+    context.pieces = generation.result(_TIMEOUT_SECONDS)
 
 
 def _read_made(context):
@@ -240,7 +240,7 @@
     order = {"model": "m", "version": version, "fencing": fencing}
     try:
         return str(_call(context, "POST", "/v1/load", order).status)
-    except _FAILURES:
+    except _CALL_ERRORS:
         return "dropped"
 
 
@@ -322,7 +322,7 @@
 @behave.then("the call through the test relay is answered after it is healed")
 def check_healed(context):
     context.relay.heal()
-    assert context.called.result(_SECONDS).read_json()["key"] == "k"
+    assert context.called.result(_TIMEOUT_SECONDS).read_json()["key"] == "k"
     assert _read_counts(context)["runs"] == 1
 
 
@@ -334,11 +334,11 @@
 
 @behave.then("the call through the test relay fails, and so do new ones until it is healed")
 def check_cut(context):
-    assert isinstance(context.called.exception(_SECONDS), _FAILURES)
+    assert isinstance(context.called.exception(_TIMEOUT_SECONDS), _CALL_ERRORS)
     context.cluster.control("service", release=True)
     try:
         _call_service(context, "k", "b", context.relay.url)
-    except _FAILURES:
+    except _CALL_ERRORS:
         pass
     else:
         raise AssertionError("a call passed the relay that was cut")
