--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -146,7 +146,7 @@
         changed = folder / path
         before = changed.read_text()
         if before.count(text) != 1:
-            raise SystemExit(f"{name}: {path} does not have this once: {text}")
+            raise SystemExit(f"{name}: {path} must contain this exactly once: {text}")
         changed.write_text(before.replace(text, replacement))
     subprocess.run([bench, "build"], cwd=folder, check=True, capture_output=True)
     return folder
--- a/features/ablation.feature
+++ b/features/ablation.feature
@@ -1,6 +1,6 @@
-Feature: The ablation takes out what it says
-  It replaces a piece of the source by one that does nothing; the piece must stand there once.
+Feature: Ablation of mechanisms
+  Ablation disables a mechanism by replacing a source text, which must occur exactly once.
 
-  Scenario: Each mechanism is found where the ablation looks for it
-    # Guards against a mechanism that moved, so that the ablation stops before its first play.
-    Then every piece that the ablation replaces stands once in its file
+  Scenario: The source text of each mechanism is found in its file
+    # Guards against moved or reworded source, with which the study stops before its first play.
+    Then every source text that the ablation replaces occurs once in its file
--- a/features/fake_entry.py
+++ b/features/fake_entry.py
@@ -1,4 +1,4 @@
-"""An entry that serves one trainer's step, and breaks one promise where it is told to."""
+"""A fake entry that serves the steps of one trainer and can inject one fault."""
 
 import base64
 import hashlib
@@ -13,7 +13,7 @@
 
 
 class FakeEntry(server.StandIn):
-    """Answers a trainer from memory; `fault` names what goes wrong, the first time only."""
+    """Answers a trainer from memory; the fault named by `fault` is injected once."""
 
     def __init__(self, fault):
         super().__init__(server.Settings())
--- a/features/standins.feature
+++ b/features/standins.feature
@@ -1,5 +1,5 @@
 Feature: Stand-ins of the platform, engines, services and trainers
-  Tests rest on the stand-ins, so these must count truly and act out the faults they are told.
+  Other tests rely on the stand-ins' counters and injected faults, which are checked here.
 
   Scenario: The log stand-in keeps the newest records and numbers them without gaps
     Given a running stand-in logservice with --retention 3
@@ -30,7 +30,7 @@
     Then the stand-in store gives 9 bytes back
     And the stand-in store soon answers 429 with Retry-After
 
-  Scenario Outline: A control that a stand-in does not know is refused whole
+  Scenario Outline: A stand-in refuses an invalid control request as a whole
     Given a running stand-in <kind> with --slow-ms 0
     When the stand-in is told <content>
     Then the stand-in refuses, naming <place>, and its slow_ms is 0
@@ -57,7 +57,7 @@
     When the stand-in engine is made quick and the generation first is cancelled
     Then the stand-in generations run in the order first third second fourth
 
-  Scenario: The engine stand-in skips the prefill of prefixes that it used last
+  Scenario: The engine stand-in skips the prefill of recently used prefixes
     Given a running stand-in engine with --cache-entries 2 --prefill-ms 0
     When the stand-in engine generates with the prefixes a b a c b a
     Then the stand-in engine counts 1 cache hits and 5 misses
@@ -75,9 +75,9 @@
       | short         | 10   | 7       | 3      |
       | short         | 10   | 10      | 0      |
 
-  Scenario Outline: A generation of the engine stand-in goes on after a load and is labelled truly
-    # The reader sees one stream whose pieces name the version that made each. The weights change
-    # between two pieces; a load that fails midway leaves weights that have no version.
+  Scenario Outline: A generation continues after a load and its label has the actual versions
+    # The weights change between two pieces of a stream, and each piece names the version that
+    # generated it. A load that fails midway leaves weights without a version.
     Given a running stand-in engine with --token-ms 0 --prefill-ms 0 --load-ms 0 <flags>
     When the stand-in engine loads version 2 with <fault> during a generation
     Then the stand-in engine's load ends with <status> and version <version>
@@ -92,7 +92,7 @@
       | --states-version   | lose_load_answer   | dropped | 2       | 1 2    | 1 2    |
       | --states-version   | a dead weight store | 503    | 1       | 1      | 1      |
 
-  Scenario Outline: The engine stand-in checks fencing numbers only where it is told to
+  Scenario Outline: The engine stand-in checks fencing numbers only with --checks-fencing
     Given a running stand-in engine with --load-ms 0 <flag>
     When the stand-in engine is ordered to load versions 5:50 6:40 7:50 8:51
     Then the stand-in engine answered <statuses> and has version 8
@@ -102,7 +102,7 @@
       | --checks-fencing    | 200 409 200 200 |
       | --no-checks-fencing | 200 200 200 200 |
 
-  Scenario: The engine stand-in fetches weights before it changes anything
+  Scenario: The engine stand-in keeps its version if it can't fetch the new weights
     Given a running stand-in weightstore with --reads-per-second 1
     And weights of 9 bytes are stored in the stand-in store
     And a stand-in engine that fetches from the stand-in store
@@ -112,16 +112,16 @@
     And the stand-in engine is ordered to load versions 1:51 7:52
     Then the stand-in engine answered 200 503 and has version 1
 
-  Scenario: The engine stand-in's load report lags
+  Scenario: The load report of the engine stand-in is delayed
     Given a running stand-in engine with --token-ms 60000 --load-lag-ms 600000
     And stand-in generations one:1 two:1 have arrived in this order
     Then the stand-in engine reports 0 running
     When the stand-in engine is told {"load_lag_ms": 0}
     Then the stand-in engine reports 2 running
 
-  Scenario Outline: The trainer stand-in finds every broken promise
-    # The trainer's operator sees exit code 0 only if every promise was kept. The entry breaks one,
-    # once; what the interface lets a trainer repair by asking again is repaired and no fault.
+  Scenario Outline: The trainer stand-in detects every fault of an entry
+    # The entry has one fault, once. Faults that a trainer may repair by repeating a request leave
+    # exit code 0; every other one makes the trainer fail and name the problem.
     Given a fake entry for the stand-in trainer with the fault <fault>
     When the stand-in trainer takes 2 steps of 2 groups of 4 samples
     Then the stand-in trainer ends with <code> and names <problem>
@@ -147,14 +147,14 @@
       | another group   | 1    | has group 99         |
       | another number  | 1    | there is no sample 99 |
 
-  Scenario: The trainer stand-in prints what it received
+  Scenario: The trainer stand-in prints the figures of its steps
     Given a fake entry for the stand-in trainer with the fault none
     When the stand-in trainer takes 2 steps of 2 groups of 4 samples
     Then the stand-in trainer printed 8 samples of 64 tokens a step, 1 version old at most
 
-  Scenario Outline: The relay between test processes holds one direction
-    # A caller waits: its request, or the answer to it, is held on the way while both connections
-    # stay open. What was held flows once the relay is healed, so the call acts late, not never.
+  Scenario Outline: A relay holds the data of one direction
+    # The relay holds a request or its answer while both connections stay open, and forwards it
+    # once it is healed: the call is delayed, not lost.
     Given a running stand-in service with --service-ms 0
     And a test relay before the stand-in service that blocks <direction>
     When the stand-in service is called through the test relay on another thread
@@ -166,15 +166,16 @@
       | to_server | 0    |
       | to_client | 1    |
 
-  Scenario: The relay between test processes cuts connections
+  Scenario: A relay closes connections
     Given a running stand-in service with --hold
     And a test relay before the stand-in service
     When the stand-in service is called through the test relay on another thread
     And the test relay is cut once the stand-in service holds the call
     Then the call through the test relay fails, and so do new ones until it is healed
 
-  Scenario: Test relays are closed while connections come in
-    # Guards against a scenario that passed and fails as it is torn down, on a busy machine.
+  Scenario: Relays are closed while connections are being accepted
+    # Guards against errors in the teardown of a scenario that has passed, on a busy machine:
+    # threads that start late made the closing of a relay raise.
     Given threads that start 0.3 s late
     When clients connect to 12 test relays, each of which is closed 0.1 s later
     Then closing the test relays raised nothing
--- a/features/steps/ablation_steps.py
+++ b/features/steps/ablation_steps.py
@@ -10,7 +10,7 @@
 _BENCH = str(_ROOT / "bench")
 
 
-@behave.then("every piece that the ablation replaces stands once in its file")
+@behave.then("every source text that the ablation replaces occurs once in its file")
 def check_pieces(context):
     sys.path.append(_BENCH)
     try:
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps for test relays that are closed on a busy machine."""
+"""Steps for closing relays while their threads start late, as on a busy machine."""
 
 import socket
 import threading
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the stand-ins themselves and for the helpers of the tests."""
+"""Steps that test the stand-ins and the relays that other tests use."""
 
 import concurrent.futures
 import hashlib
@@ -310,7 +310,7 @@
 def call_through(context):
     url = context.relay.url
     context.called = _run_async(context, _call_service, context, "k", "b", url)
-    support.wait_until(lambda: context.relay.connections == 1, "the relay has the connection")
+    support.wait_until(lambda: context.relay.connections == 1, "the relay has one connection")
 
 
 @behave.then("the stand-in service has {runs:d} runs before the test relay is healed")
@@ -341,6 +341,6 @@
     except _CALL_ERRORS:
         pass
     else:
-        raise AssertionError("a call passed the relay that was cut")
+        raise AssertionError("a call passed through a relay after cut()")
     context.relay.heal()
     assert _call_service(context, "k", "b", context.relay.url).status == 200
--- a/features/steps/trainer_standin_steps.py
+++ b/features/steps/trainer_standin_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the stand-in trainer before an entry that has faults."""
+"""Steps that run the trainer stand-in against a fake entry with an injected fault."""
 
 import json
 
