--- a/features/code_comments.feature
+++ b/features/code_comments.feature
@@ -1,5 +1,5 @@
 Feature: Comments on constants say what they are for
-  How a value was found belongs into docs/design and the history, and units into names. A figure
+  How a value was found belongs in docs/design and the commit history, units in names. A figure
   stays in a comment only with what went wrong, or would go wrong, with it.
 
   Scenario Outline: The constants of the product have no such comments
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -1,5 +1,5 @@
 Feature: Quarantine of requests that crash servers, in a whole deployment
-  Three programs run on the platform's stand-in, with servers that end when they run a fatal request.
+  Three front programs use a stand-in for the platform and servers that crash when they run a fatal request.
 
   Scenario Outline: A request that crashes servers is soon quarantined
     # Guards against one request that crashes every server each time it is sent.
--- a/features/crashing_versions.feature
+++ b/features/crashing_versions.feature
@@ -17,7 +17,7 @@
       | 12      | 0.2     | 34     | 1    |
 
   Scenario Outline: After a quarantine, a version that loads again, or the next one, reaches all servers
-    # Guards against a fleet that stays behind for ever after weights crashed some of its servers.
+    # Guards against a fleet that keeps old weights for ever after new ones crashed some of its servers.
     Given 4 servers that two processes order
     When version 2, which ends a server 0.2 s into a load, is the target for <before> s
     And version <next>, which ends no server, is the target for <after> s
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -75,6 +75,7 @@
         self.register(sampler)
 
     def _schedule_restart(self, sampler):
+        """Restart a crashed server after a pause, without blocking the thread it crashed in."""
         timer = threading.Timer(_RESTART_SECONDS, self._restart_server, (sampler,))
         timer.daemon = True
         timer.start()
--- a/features/front_soak.py
+++ b/features/front_soak.py
@@ -22,7 +22,7 @@
 _MAX_CRASHES = 3
 """Servers that a request may crash before it is quarantined."""
 _CRASH_REPORT_SECONDS = 3.0
-"""Time limit for a crash to be known to all programs, from the end of all faults."""
+"""Time limit for a crash to be known to all programs once no fault is in effect."""
 _MAX_LINE_CHARACTERS = 3000
 """Printed characters of a log line with a violation, which may hold a traceback."""
 _READ_BACK_SECONDS = 40.0
--- a/features/once_issued_matrix.feature
+++ b/features/once_issued_matrix.feature
@@ -46,7 +46,7 @@
       | unsent | kill service, log refuse, ask entry-a 30000, await 1                       | not-run          | nothing | 0    |
       | unsent | kill service, log refuse, ask entry-a 30000, await 1, ask entry-b, await 2 | not-run, not-run | done    | 1    |
 
-  Scenario Outline: An entry has no thread to spare
+  Scenario Outline: All threads of an entry are busy
     # The entry refuses requests at once because all its threads are busy. It must not answer "not run"
     # for a key that it knows to be claimed.
     Given a deployment whose entries have http_threads set to 10 for a non-repeatable request
--- a/features/order_crowd.feature
+++ b/features/order_crowd.feature
@@ -21,8 +21,8 @@
       | 12      | 2.8     | 4        | 8     | 5    | 12     |
 
   Scenario Outline: Servers are asked whether they are loading only if loads exceed a wave
-    # Each question may open a connection to a server, and each process asks many servers: in a fleet
-    # of 23 servers with short loads, the questions cost more than what they guard against.
+    # Each request may open a connection to a server, and each process asks many servers: in a fleet of
+    # 23 servers with short loads, the requests cost more than the simultaneous loads that they prevent.
     Given <servers> servers, each ordered by its own process, whose loads take <seconds> s
     When 6 versions are published, one every 6 s
     Then the processes asked other servers at most <most> times
--- a/features/pulls.feature
+++ b/features/pulls.feature
@@ -129,7 +129,7 @@
     Then 3 work items of the sample registry are cancelled, each once
 
   Scenario Outline: A random run of lost answers, restarts, hedges and new versions
-    # A model of the trainer, the engines and two entries plays random events and checks every answer.
+    # A model of the trainer, the engines and two entries draws random events and checks every answer.
     # Each sample must arrive once and within the staleness bound, and the step must become complete,
     # whatever is lost, late, repeated or replaced.
     When a model trainer plays <events> events with seed <seed> against two sample registries
--- a/features/soak_faults.py
+++ b/features/soak_faults.py
@@ -129,6 +129,7 @@
 
     def _start_process(self, name):
         if name in self._deployed.entries:
+            # The last letter of "entry-a" is its failure domain.
             self._deployed.start_entry(name, name[6])
             self._retarget_relay(f"{name}-front", name)
         elif name.endswith("-engine"):
--- a/features/walk.feature
+++ b/features/walk.feature
@@ -19,7 +19,7 @@
     When the walk's audit is printed
     Then the walk's command exits 0 and names "ada" and "contract catania"
 
-  Scenario Outline: The binary explains itself
+  Scenario Outline: The binary prints its version, its help and errors in its arguments
     Given the binary in an empty environment
     When the walk's binary runs with <arguments>
     Then the walk's command exits <code> and names "<one>" and "<two>"
