--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -196,7 +196,7 @@
         return cluster.start("trainer", trainer.__name__, *flags, ready=False)
 
     def _check_run(self, code, lines):
-        """Check the exit code and summary of a run; late samples are allowed under faults."""
+        """Check the exit code and summary of a run; a step may be late, owing to faults."""
         for line in lines:
             content = json.loads(line)
             if content.get("summary"):
