--- a/libs/admission/oleander_admission/admission.py
+++ b/libs/admission/oleander_admission/admission.py
@@ -14,7 +14,7 @@
 
 _PREEMPTIBLE = frozenset({contract.Priority.SAMPLING, contract.Priority.BACKGROUND})
 _MIN_RUNNING = 2
-"""Minimum number of running works whose overrun counts as a sign of a slow server."""
+"""Fewest running work items whose median overrun counts as a sign of a slow server."""
 _MIN_RETRY_AFTER_MS = 50
 _MAX_RETRY_AFTER_MS = 60_000
 
@@ -31,11 +31,11 @@
     """
     Waiting and running work of one backend server; thread-safe.
 
-    At most `max_waiting` works wait. When the queue is full, new work evicts the newest work of
-    the least urgent class below its own, or that of a customer of its own class with a longer
-    backlog relative to its share; otherwise the new work is refused. One in twenty places is
-    reserved for each class. Dropped work is kept until `take_dropped`; once `max_waiting` dropped
-    works are not collected, all new work is refused, which bounds the memory.
+    At most `max_waiting` items of work wait. When the queue is full, new work evicts the newest
+    work of the least urgent class below its own, or that of a customer of its own class with a
+    longer backlog relative to its share; otherwise the new work is refused. One in twenty places
+    is reserved for each class. Dropped work is kept until `take_dropped`; once `max_waiting`
+    dropped items are not collected, all new work is refused, which bounds the memory.
     Work that was taken holds its slot until `finish`.
     """
 
@@ -60,13 +60,13 @@
 
     @property
     def queued(self) -> int:
-        """Number of works that wait."""
+        """Number of work items that wait."""
         with self._condition:
             return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Number of works that were taken and not finished."""
+        """Number of work items that were taken and not finished."""
         with self._condition:
             return len(self._running)
 
@@ -77,7 +77,7 @@
         Work is refused if the queue is closed, if it is expected to end after its deadline, or if
         the queue is full. Work whose predicted cost alone exceeds the deadline is refused even by
         an idle queue, so callers without measurements should predict a low cost.
-        Raises if a work with this `work_id` already waits or runs.
+        Raises if work with this `work_id` already waits or runs.
         """
         with self._condition:
             now = self._read_now()
@@ -190,9 +190,9 @@
         Return the factor from predicted to expected service time, including running work.
 
         When a backend server becomes slow, nothing completes for a while and the factor from
-        completed work does not change; work was then admitted that could not end in time. The
-        median overrun of the running work shows the slowdown sooner. A single straggler does not
-        affect the median, and a work that runs alone is not counted.
+        completed work does not change, so work was admitted that could not end before its
+        deadline. The median overrun of the running work shows the slowdown sooner. A single
+        straggler does not affect the median, and a work item that runs alone is not counted.
         """
         ratio = self._estimator.compute_ratio(now)
         if len(self._running) < _MIN_RUNNING:
--- a/libs/admission/oleander_admission/priority_classes.py
+++ b/libs/admission/oleander_admission/priority_classes.py
@@ -10,7 +10,7 @@
 _MIN_SHARE = 0.03
 """Fraction of the service time that each class gets even while more urgent work waits."""
 _RESERVED_FRACTION = 0.05
-"""Fraction of the queue's places reserved for each class, safe from other classes' work."""
+"""Fraction of the queue's places that only work of one class may use; the same for each class."""
 
 
 def find_priority_class(priority: int) -> contract.Priority:
@@ -35,7 +35,8 @@
     under a steady load of bookings timed out each night. Whenever more urgent work runs, each
     waiting class is therefore credited with a few percent of its service time. Once the credit
     covers the next work of the class, that work runs first. The minimum share is counted in
-    service time and not in works, so that long work can't get more than this share of the slots.
+    service time and not in work items, so that long work can't get more than this share of the
+    slots.
     """
 
     def __init__(self) -> None:
@@ -82,7 +83,7 @@
         self._update_credits(priority, selected.work.cost_ms, selected.by_min_share)
 
     def count_class(self, priority: int) -> int:
-        """Return the number of works of a class that wait."""
+        """Return the number of work items of a class that wait."""
         return len(self._queues[find_priority_class(priority)])
 
     def pop_expired(self, now: float) -> list[work.Work]:
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -100,7 +100,7 @@
     def end(
         self, batch_id: str, deadline: clock.Deadline
     ) -> expression.Result[None, content.JournalFailure]:
-        """End a batch, whose trainer needs no further results."""
+        """End a batch because its trainer needs no further results."""
         ended = self._append_index([records.Ended(batch_id)], deadline)
         if ended.is_ok():
             self._index.apply_appended(records.Ended(batch_id))
--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -91,7 +91,7 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the stream was read to the end that it had at the start."""
+        """Whether all records that the stream held at the start were read."""
         return self._caught_up.is_set()
 
     @property
@@ -101,7 +101,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the stream was read to its end or can't be read at present."""
+        """Whether the stream has caught up as in `is_caught_up`, or the last read failed."""
         return self._caught_up.is_set() or self._read_failed
 
     def start(self) -> None:
--- a/libs/claims/oleander_claims/sharded_claims.py
+++ b/libs/claims/oleander_claims/sharded_claims.py
@@ -24,7 +24,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether each stream was read to its end or can't be read at present."""
+        """Whether every shard has caught up with its stream or failed at its last read."""
         return all(item.is_ready for item in self._shards)
 
     def start(self) -> None:
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallFailure:
-    """The failure of an attempt that brought no usable answer."""
+    """Why an attempt returned no usable answer."""
 
     detail: str
     was_sent: bool
--- a/libs/orders/oleander_orders/load_capacity.py
+++ b/libs/orders/oleander_orders/load_capacity.py
@@ -50,7 +50,7 @@
         self._load_seconds = known + _AVERAGE_WEIGHT * (seconds - known)
 
     def fits_wave(self, wave_seconds: float) -> bool:
-        """Return whether the measured load time fits into a wave; False before the first load."""
+        """Return whether the mean load time is at most `wave_seconds`; False before any load."""
         return self._load_seconds is not None and self._load_seconds <= wave_seconds
 
     def exceeds_capacity(self, servers: int, max_loading: int) -> bool:
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -181,7 +181,7 @@
 
     @property
     def may_waves_overlap(self) -> bool:
-        """Whether, by the measured load times, a wave may start while the last still loads."""
+        """Whether, by the measured load times, a wave may start while another still loads."""
         return not self._capacity.fits_wave(_SHORT_LOAD_SECONDS)
 
     def record_allowed_lag(self, model: str, lag: int) -> None:
--- a/libs/quarantine/oleander_quarantine/ledger.py
+++ b/libs/quarantine/oleander_quarantine/ledger.py
@@ -144,7 +144,7 @@
         return fingerprint in self._suspects
 
     def is_recurrent(self, fingerprint: str) -> bool:
-        """Return whether a request has enough crashes for a quarantine, even if it has ended."""
+        """Return whether a request's crashes reach the threshold, even after its quarantine."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
             return suspect is not None and suspect.crashes_over_threshold >= 0
@@ -152,7 +152,7 @@
     def find_quarantine(
         self, fingerprint: str, initial_seconds: float = CALL_QUARANTINE_SECONDS
     ) -> clock.Deadline | None:
-        """Return the end of a request's quarantine, or None if it is in none."""
+        """Return the end of a request's quarantine, or None if it is not in quarantine."""
         with self._lock:
             suspect = self._suspects.get(fingerprint)
             if suspect is None or suspect.crashes_over_threshold < 0:
--- a/libs/routing/oleander_routing/windows.py
+++ b/libs/routing/oleander_routing/windows.py
@@ -30,16 +30,16 @@
     Limits the windowed requests in flight at one server; not thread-safe.
 
     The limit grows with successes and is halved by a refusal. Entries don't know of each other's
-    requests at a server: with a fixed limit each, they fill it together, and nine of ten requests
-    are refused and sent again.
+    requests at a server: with a fixed limit for each entry, the entries together fill the server,
+    and nine of ten requests are refused and sent again.
 
-    After a refusal the server is full or loads weights. It then gets one request at a time, a
+    A server that refuses is full or loads weights. It then gets one request at a time, a
     trial, until one is accepted. When the whole window was sent again after each pause, a server
     that loaded for 0.9 s refused some 60 requests, and one that loaded for 2.8 s several hundred.
 
-    A trial counts as accepted once it is not refused in time. Waiting for the server to begin
-    with the trial left servers idle: their slots may be held for long by earlier requests, and
-    the requests that they could have queued meanwhile were not sent.
+    A trial counts as accepted if it is not refused within `_REFUSAL_TIMEOUT_SECONDS`. Waiting for
+    the server to begin with the trial left servers idle: their slots may be held for long by
+    earlier requests, and the requests that they could have queued meanwhile were not sent.
 
     A refusal expires after the time for which the server was seen to refuse, at least one second.
     Trials need requests, so none are made between training steps. Without the expiry the next
--- a/libs/samples/oleander_samples/attempts.py
+++ b/libs/samples/oleander_samples/attempts.py
@@ -43,7 +43,7 @@
         return tuple(self._by_number.get(number, ()))
 
     def list_single(self) -> list[work.Attempt]:
-        """Return the attempts that are the only ones at their samples."""
+        """Return each attempt that is the only running one at its sample."""
         return [found[0] for found in self._by_number.values() if len(found) == 1]
 
     def add(self, attempt: work.Attempt) -> None:
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -153,7 +153,7 @@
             self._check_sample_counts()
 
     def record_held(self, numbers: collections.abc.Iterable[int], version: int) -> None:
-        """Add the samples that the trainer listed in a repeated registration; work may start."""
+        """Add the held samples that a repeated registration lists; from then on work may start."""
         with self._changed:
             if self._is_closed:
                 return
--- a/libs/wire/oleander_wire/messages.py
+++ b/libs/wire/oleander_wire/messages.py
@@ -62,7 +62,7 @@
     leaving: bool
     configuration_offset: int
     ticket_epoch: int
-    """The epoch of tickets issued now for this sidecar, from which their age follows."""
+    """The epoch to put into tickets for this sidecar; it shows the age of a ticket later."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -20,7 +20,7 @@
 _LOAD_TIMEOUT_SECONDS = 1.0
 """Bound on reading a submission, or its partial texts; no item is started meanwhile."""
 _CHECKPOINT_INTERVAL_SECONDS = 0.8
-"""Texts lose at most the events of this interval when their process is killed."""
+"""Pause between checkpoints; a killed process loses at most the events of this interval."""
 _MIN_CHECKPOINT_EVENTS = 12
 """Fewest new events worth a checkpoint, which costs two appends to the log. Generating a shorter
 text again takes less."""
--- a/programs/oleanderdeal/oleanderdeal/callers.py
+++ b/programs/oleanderdeal/oleanderdeal/callers.py
@@ -41,7 +41,6 @@
 
     outcome: messages.Outcome
     status: int
-    """HTTP status."""
     reason: str
     """Machine-readable reason; empty if the request succeeded."""
     retry_after_ms: int
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -90,7 +90,7 @@
         self._trainers = {
             key: value for key, value in counts.trainers.items() if wanted in {"", key[0]}
         }
-        # What was promised and never asked for has a row too.
+        # Operations and trainers of a contract that have no requests get a row of zeros.
         for customer, terms in self._contracts.items():
             for operation in terms.operations:
                 key = (customer, operation.name)
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -28,9 +28,9 @@
 
 
 RETRY_AFTER_MS = 500
-"""Delay that a request refused for lack of threads is asked to wait."""
+"""Retry delay stated in the refusal of a request for lack of threads."""
 _TOTAL_SHARE = 0.9
-"""Share of the pool that all classes may hold together; the other threads only refuse."""
+"""Share of the pool that all classes may hold together; the other threads only send refusals."""
 _NON_CRITICAL_SHARE = 0.6
 """Share of the pool that all classes except the critical one may hold together."""
 _SHARES = {
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -178,7 +178,7 @@
         self.was_answered = False
         """Whether the server sent an answer in place of a stream."""
         self.was_error = False
-        """Whether that answer was a server error, which counts towards giving the item up."""
+        """Whether the server answered with an error that counts towards giving the item up."""
         self.server_ended = False
         self.was_sent = True
         self.reason = ""
--- a/programs/oleanderdeal/oleanderdeal/ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/ownership.py
@@ -9,7 +9,7 @@
 """Without a heartbeat for this long, a runner loses its partitions to the others."""
 _ASSIGNMENT_VALID_SECONDS = 10.0
 """How long a process acts on its assignment after the platform's last answer. Outages last
-seconds, and a batch has little more time than this."""
+seconds, and the time allowed for a batch is little longer than this."""
 _HEARTBEAT_SECONDS = 0.6
 """Interval of heartbeats; several fit into the time to live."""
 _LEAVE_RETRY_SECONDS = 0.2
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -41,7 +41,7 @@
 
     @property
     def is_linked(self) -> bool:
-        """Whether any entry is connected, which then also sends configuration changes."""
+        """Whether any entry is connected; entries also send configuration changes."""
         return bool(self._open_links)
 
     @property
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -21,7 +21,7 @@
 _REPORT_INTERVAL_SECONDS = 0.2
 """Pause between two checks for windows that are due."""
 _LEASE_CHECK_SECONDS = 0.5
-"""Pause between two checks whether the duty falls to this process."""
+"""Pause until a process without the lease checks again whether it should claim it."""
 _CALL_TIMEOUT_SECONDS = 0.8
 _MIN_TENURE_SECONDS = 1.0
 """Shortest remaining lease with which a call is started. A later call could reach the platform
--- a/programs/oleanderdeal/oleanderdeal/weights.py
+++ b/programs/oleanderdeal/oleanderdeal/weights.py
@@ -126,7 +126,7 @@
                 self._state = dataclasses.replace(self._state, marks_tokens=marks_tokens)
 
     def confirm_unchanged(self, before: WeightState) -> int | None:
-        """Return the version that has run since `before`, or None if it may have changed."""
+        """Return the version if it is unchanged since `before`, or None if it may have changed."""
         read = self._backend.read_version(clock.start_deadline(_CALL_SECONDS))
         now = self._state
         if read.is_error() or read.ok.is_loading or before.is_order_pending:
