--- a/libs/contracts/oleander_contracts/contract.py
+++ b/libs/contracts/oleander_contracts/contract.py
@@ -26,10 +26,10 @@
 
     name: str
     backend: str
-    """The group of backend servers that runs it, by its name in the host list."""
+    """The group of backend servers that runs the requests, by its name in the host list."""
     priority: Priority
     repeatable: bool
-    """Whether it may be run more than once; if not, it runs at most once."""
+    """Whether one request may run more than once; otherwise it runs at most once."""
     timeout_ms: int
     """An answer that takes longer counts as late."""
     worth: int
--- a/libs/duties/oleander_duties/usage.py
+++ b/libs/duties/oleander_duties/usage.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CountedRequest:
-    """A request that was counted, with the window to undo it in."""
+    """A request that was counted, and the window whose count `undo` lowers."""
 
     organisation: str
     window: int
--- a/libs/routing/oleander_routing/peers.py
+++ b/libs/routing/oleander_routing/peers.py
@@ -80,12 +80,12 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it accepts new requests: in rotation and not leaving."""
+        """Whether the peer accepts new requests: it is in rotation and not leaving."""
         return self.in_rotation and not self.leaving and not self.is_listed_leaving
 
     @property
     def is_available(self) -> bool:
-        """Whether it is not ejected and seems to have a free slot."""
+        """Whether the peer is not ejected and, by estimate, has a free slot."""
         return self.weight > 0.0 and self.has_free_slot
 
     @property
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -58,11 +58,11 @@
     """Names of peers that must not be chosen, as they were tried already."""
     budget_ms: int
     may_probe: bool = True
-    """Whether it may probe an ejected peer; False for requests that must not be repeated."""
+    """Whether an ejected peer may be probed with it; False for non-repeatable requests."""
     model: str = ""
     """The model to which `oldest_version` applies, if peers have several models."""
     is_windowed: bool = False
-    """Whether it is deferrable: sent only to a peer whose request window is open."""
+    """Whether the request is deferrable: sent only to a peer whose request window is open."""
     expected_events: float = 0.0
     """Expected number of events in its stream; 0 if unknown."""
 
