--- a/bench/policy_choosers.py
+++ b/bench/policy_choosers.py
@@ -50,10 +50,10 @@
         self._loads[name] = outstanding
 
     def record_started(self, name: str) -> None:
-        """Count nothing."""
+        """Do nothing: only reports change the load."""
 
     def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
-        """Count nothing."""
+        """Do nothing: only reports change the load."""
 
 
 class TwoReported(LeastReported):
--- a/bench/policy_queues.py
+++ b/bench/policy_queues.py
@@ -42,11 +42,11 @@
         return True
 
     def take(self) -> work.Work | None:
-        """Return the oldest work."""
+        """Return the oldest work, or None."""
         return self._items.popleft() if self._items else None
 
     def finish(self, item: work.Work, service_ms: float) -> None:
-        """Learn nothing from it."""
+        """Do nothing: service times do not affect this queue."""
 
 
 class StrictQueue(Queue):
@@ -60,11 +60,11 @@
         return self._queues[item.priority].submit(item)
 
     def take(self) -> work.Work | None:
-        """Return the oldest work of the most urgent class."""
+        """Return the oldest work of the most urgent class with any, or None."""
         return next((item for queue in self._queues if (item := queue.take())), None)
 
     def finish(self, item: work.Work, service_ms: float) -> None:
-        """Learn nothing from it."""
+        """Do nothing: service times do not affect this queue."""
 
 
 class OurQueue(Queue):
--- a/standins/oleander_standins/demo.py
+++ b/standins/oleander_standins/demo.py
@@ -99,7 +99,7 @@
         again = deployed.call(entries[1], customer, operation, body, key=f"{operation}-1")
         assert first.status == 200, first.body
         assert again.body == first.body, again.body
-        print(f"{operation}: {first.body.decode()}; asked again elsewhere: the same answer")
+        print(f"{operation}: {first.body.decode()}; same answer from another entry")
     call_during_outage(deployed)
     order = deployed.call(entries[2], "caroni", "standing-order", {"outlet": 7})
     assert order.status == 200, order.body
@@ -125,7 +125,7 @@
     assert own.status == 503, own.body
     assert done.status == 200, done.body
     problem = own.read_json()
-    print(f"log down, own key: {problem['outcome']}, again in {problem['retry_after_ms']} ms")
+    print(f"log down, own key: {problem['outcome']}, retry after {problem['retry_after_ms']} ms")
     print(f"log down, issued key: {done.body.decode()}")
 
 
--- a/standins/oleander_standins/processes.py
+++ b/standins/oleander_standins/processes.py
@@ -44,7 +44,7 @@
         value = condition()
         if value:
             return value
-        assert time.monotonic() < deadline, f"not within {seconds} s: {what}"
+        assert time.monotonic() < deadline, f"timed out after {seconds} s, waiting for: {what}"
         time.sleep(0.01)
 
 
@@ -82,7 +82,7 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The operating system's id of the process."""
         return self._child.pid
 
     @property
--- a/standins/oleander_standins/relay.py
+++ b/standins/oleander_standins/relay.py
@@ -278,7 +278,7 @@
         _shut_down_socket(self.server)
 
     def close(self) -> None:
-        """Close both sockets."""
+        """Shut down and close both sockets."""
         self.shut()
         self.client.close()
         self.server.close()
--- a/standins/oleander_standins/server.py
+++ b/standins/oleander_standins/server.py
@@ -127,7 +127,7 @@
 
     @abc.abstractmethod
     def answer(self, exchange: Exchange) -> None:
-        """Answer a request."""
+        """Process a request and send its answer."""
 
     @abc.abstractmethod
     def count(self, query: dict[str, str]) -> dict[str, typing.Any]:
--- a/standins/oleander_standins/trainer.py
+++ b/standins/oleander_standins/trainer.py
@@ -101,7 +101,7 @@
         collector = self._put_step(step, groups, check, give_up_at)
         while not check.is_complete:
             if time.monotonic() >= give_up_at:
-                raise trainer_client.LateError(f"step {step} is not complete")
+                raise trainer_client.LateError(f"step {step} was not complete before its deadline")
             pulled = self._client.pull(collector, step, self._create_pull(check))
             if pulled.answer is not None:
                 check.take_answer(pulled.answer)
--- a/standins/oleander_standins/trainer_client.py
+++ b/standins/oleander_standins/trainer_client.py
@@ -174,7 +174,7 @@
 def _read_success(response: client.Response) -> dict[str, typing.Any]:
     content = _read_object(response)
     if not content:
-        raise RefusedError("the answer is no JSON object")
+        raise RefusedError("the answer is not a JSON object, or an empty one")
     return content
 
 
--- a/standins/oleander_standins/weightstore.py
+++ b/standins/oleander_standins/weightstore.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Settings(server.Settings):
-    """The limit of the store."""
+    """Settings of the weight store."""
 
     reads_per_second: int = 0
     """Reads above this rate are answered 429; 0 sets no limit."""
