--- a/bench/samples_simulation.py
+++ b/bench/samples_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated engines, an entry and a trainer around the product's collector of samples."""
+"""Simulate engines, an entry and a trainer around the product's sample collector."""
 
 import collections.abc
 import dataclasses
@@ -84,7 +84,7 @@
 
 
 class LengthSource:
-    """Draws lengths of texts, lognormal around a median of their group."""
+    """Draws heavy-tailed lengths of texts, lognormal around a median of their group."""
 
     def __init__(self, workload: Workload, seed: int) -> None:
         self._workload = workload
@@ -118,7 +118,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """A model engine and its running generations."""
+    """A model engine, whose slots all have the same speed, and its running generations."""
 
     index: int
     seconds_per_token: float
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop callers: a seed fixes the arrivals, whatever the speed of the answers."""
+"""Open-loop callers on a bounded thread pool; a seed fixes when each request is sent."""
 
 import collections
 import concurrent.futures
