--- a/programs/oleanderdeal/oleanderdeal/settings.py
+++ b/programs/oleanderdeal/oleanderdeal/settings.py
@@ -82,10 +82,10 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _SettingSource:
+class _SettingText:
     """Text of a setting, and the flag or variable that gave it."""
 
-    source: str
+    origin: str
     text: str
 
 
@@ -101,7 +101,7 @@
         return expression.Error(findings.Findings((finding,)))
     found: list[findings.Finding] = []
     run = setting_table.Command(command)
-    given = _collect_sources(run, argv, environ, found)
+    given = _collect_texts(run, argv, environ, found)
     values = {setting.name: _choose_value(setting, run, given, found) for setting in _TABLE}
     if not found:
         _check_combinations(run, values, found)
@@ -116,17 +116,17 @@
     return f"did you mean {nearest[0]}?" if nearest else ""
 
 
-def _collect_sources(
+def _collect_texts(
     command: setting_table.Command,
     argv: collections.abc.Sequence[str],
     environ: collections.abc.Mapping[str, str],
     found: list[findings.Finding],
-) -> dict[str, _SettingSource]:
+) -> dict[str, _SettingText]:
     given = _read_variables(environ, found)
     known = setting_table.list_settings(command)
     line = command_line.parse_flags(known, argv)
     for name, text in line.texts.items():
-        given[name] = _SettingSource(f"--{name}", text)
+        given[name] = _SettingText(f"--{name}", text)
     found.extend(line.faults)
     for flag in line.unknown:
         found.append(
@@ -144,7 +144,7 @@
 
 def _read_variables(
     environ: collections.abc.Mapping[str, str], found: list[findings.Finding]
-) -> dict[str, _SettingSource]:
+) -> dict[str, _SettingText]:
     """
     Collect the environment variables with the program's prefix, and report unknown ones.
 
@@ -157,7 +157,7 @@
         if not variable.startswith(setting_table.VARIABLE_PREFIX):
             continue
         if variable in by_variable:
-            given[by_variable[variable].name] = _SettingSource(variable, text)
+            given[by_variable[variable].name] = _SettingText(variable, text)
             continue
         fix = suggest_nearest(variable, by_variable)
         found.append(findings.Finding(variable, "is not a known variable", fix))
@@ -167,7 +167,7 @@
 def _choose_value(
     setting: setting_table.Setting,
     command: setting_table.Command,
-    given: dict[str, _SettingSource],
+    given: dict[str, _SettingText],
     found: list[findings.Finding],
 ) -> typing.Any:
     """Return the parsed value or the default; add a finding and return None if it is faulty."""
@@ -178,7 +178,7 @@
     if result.is_ok():
         return result.ok
     fix = f"in {setting.unit}" if setting.unit else str(setting.kind)
-    found.append(findings.Finding(source.source, result.error, fix))
+    found.append(findings.Finding(source.origin, result.error, fix))
     return None
 
 
