--- a/libs/samples/oleander_samples/backlog.py
+++ b/libs/samples/oleander_samples/backlog.py
@@ -13,10 +13,10 @@
     """
     The numbers of the samples that wait to be started; bounded by the samples of the step.
 
-    Retries come first, because the text they resume from becomes stale and they delay the step.
-    The other samples follow by predicted length, longest first, so that few long samples start
-    late. Groups with the same prediction take turns, so that the samples of one group are spread
-    over the engines.
+    Retries are started first: the text that they resume from becomes stale while they wait, and
+    they delay the step. The other samples follow by predicted length, longest first, so that few
+    long samples start late. Groups with the same prediction take turns, so that the samples of
+    one group are spread over the engines.
     """
 
     def __init__(self, group_of: list[int], lengths: predictions.LengthModel) -> None:
--- a/libs/samples/oleander_samples/collector.py
+++ b/libs/samples/oleander_samples/collector.py
@@ -17,8 +17,8 @@
 MAX_SILENCE_SECONDS = 120.0
 """No work is started while a trainer that has pulled before has been silent for longer."""
 ABANDONED_AFTER_SECONDS = 1800.0
-"""The same limit for a trainer that has not pulled yet. The step of any trainer that is silent
-for longer may be closed to admit another step."""
+"""No work is started while a trainer that has not pulled yet has been silent for longer. The step
+of any trainer that has been silent for longer may be closed to admit another step."""
 
 
 class StepCollector:
@@ -27,8 +27,8 @@
 
     No work is started before the trainer has stated which samples it holds, in its registration
     or in its first pull: an entry that replaces another does not know what was delivered and
-    would generate held samples again. Only this statement shows that a sample was delivered; the
-    sample is kept until then.
+    would generate held samples again. A sample is kept until the trainer states that it holds the
+    sample, because nothing else shows that it was delivered.
     A trainer that stops pulling may have switched to another entry, which generates the same
     samples, so no new work is started while the trainer is silent.
     All state is bounded by the number of samples of the step and by `MAX_PENDING_CHARACTERS`.
@@ -184,8 +184,8 @@
         """
         Return samples that the trainer does not hold, waiting up to `seconds` for the first.
 
-        A later pull ends an earlier one that still waits with a refusal. If both were answered,
-        a trainer that gave up on the first would be sent the same samples twice.
+        If an earlier pull is still waiting, it is refused. If both were answered, a trainer that
+        gave up on the first would be sent the same samples twice.
         """
         deadline = clock.start_deadline(seconds)
         with self._changed:
@@ -251,8 +251,8 @@
         """
         Return whether work may start now.
 
-        It may not before the trainer has stated which samples it holds, while the trainer is
-        silent, or while too much text is pending delivery.
+        No work may start before the trainer has stated which samples it holds, while the trainer
+        is silent, or while too much text is pending delivery.
         """
         if not self._has_stated_held or self._is_closed:
             return False
--- a/libs/samples/oleander_samples/hedging.py
+++ b/libs/samples/oleander_samples/hedging.py
@@ -1,4 +1,10 @@
-"""Detection of stragglers, and the token budget for hedging them."""
+"""
+Detection of stragglers, and the token budget for hedging them.
+
+A straggler is an attempt that another engine would finish far sooner. A hedge is a second attempt
+at its sample, of which the first result counts; a migration cancels the straggler and resumes its
+sample on another engine.
+"""
 
 import collections.abc
 import dataclasses
@@ -7,7 +13,7 @@
 
 _STRAGGLER_FACTOR = 2.0
 """An attempt is a straggler if its rate, its remaining time or its wait for the first token is
-worse than usual by this factor."""
+worse than the typical value by this factor."""
 _RESTART_COST_TOKENS = 32
 """The cost of resuming on another engine, as a number of generated tokens."""
 _MIN_GAIN_SECONDS = 0.5
@@ -17,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StragglerPolicy:
-    """When an attempt counts as a straggler, and what is done about it."""
+    """When an attempt counts as a straggler, and how stragglers are handled."""
 
     hedge_percent: int
     """The tokens that hedges may generate, in percent of the step's expected tokens."""
@@ -43,8 +49,8 @@
     Finds stragglers and enforces the token budget of hedges.
 
     An attempt is a straggler if its engine is slow, not if its text is long. A long text takes as
-    long on any engine, and if it were raced, the shorter of two texts would win, which would
-    bias the step towards shorter samples than its policy generates.
+    long on any engine. If a second attempt were started for it, the shorter of the two texts
+    would be kept, which would bias the step towards shorter samples than its policy generates.
     The budget limits the tokens that hedges generate to a percentage of the step's expected
     tokens. The tokens that running hedges are expected to generate are reserved.
     """
@@ -71,7 +77,7 @@
 
     @property
     def spent_tokens(self) -> int:
-        """The number of tokens that hedges generated while they raced another attempt."""
+        """The number of tokens that hedges generated while their sample had another attempt."""
         return self._spent_tokens
 
     @property
@@ -100,9 +106,9 @@
         free_slot_rate: float | None = None,
     ) -> list[int]:
         """
-        Return the numbers of samples that another engine would finish far sooner, latest first.
+        Return the numbers of samples that only stragglers generate, longest remaining time first.
 
-        If a sample has two attempts, both must be late. `free_slot_rate` is the rate of the
+        If a sample has two attempts, both must be stragglers. `free_slot_rate` is the rate of the
         fastest engine with a free slot, in tokens per second; None if unknown.
         """
         typical_rate = self._rates.typical_rate
@@ -154,12 +160,12 @@
         self._reserved[work_id] = max(0, self._reserved[work_id] - tokens)
 
     def release(self, work_id: str) -> None:
-        """Release the reservation of a hedge that ended or no longer races another attempt."""
+        """Release the reservation of a hedge that ended or is now its sample's only attempt."""
         self._reserved.pop(work_id, None)
 
     @property
     def _max_wait_seconds(self) -> float:
-        """The longest wait for a first token, in seconds, that does not make a straggler."""
+        """The wait for a first token, in seconds, from which an attempt can be a straggler."""
         return max(
             self._policy.min_wait_seconds, _STRAGGLER_FACTOR * self._rates.typical_wait_seconds
         )
@@ -168,10 +174,10 @@
         self, attempt: work.Attempt, typical_rate: float, free_slot_rate: float | None, now: float
     ) -> float | None:
         """
-        Return the seconds that a straggler still needs, or None if the attempt is not late.
+        Return the seconds that an attempt still needs, or None if it is not a straggler.
 
         An attempt without a token is presumably waiting for a slot, as it would on any engine. It
-        is late only once it has waited for far longer than the others did.
+        can be a straggler only once it has waited for far longer than the others did.
         """
         if not attempt.generated_tokens and attempt.measure_elapsed(now) < self._max_wait_seconds:
             return None
--- a/libs/samples/oleander_samples/labels.py
+++ b/libs/samples/oleander_samples/labels.py
@@ -15,9 +15,9 @@
     """Why a label can't be determined."""
 
     UNSTATED = "unstated"
-    """Tokens lack a version, and the engine's version was not read before and after them."""
+    """Tokens lack a version, and the engine's was not read before and after the generation."""
     UNSETTLED = "unsettled"
-    """Tokens lack a version, and the engine's version may have changed while it made them."""
+    """Tokens lack a version, and the engine's version may have changed during the generation."""
     CONTRADICTION = "contradiction"
     """The stated versions disagree with those read from the engine, or a value is negative."""
     EMPTY = "empty"
--- a/libs/samples/oleander_samples/predictions.py
+++ b/libs/samples/oleander_samples/predictions.py
@@ -10,7 +10,7 @@
 _MAX_RATES = 256
 """Window size, in finished attempts, for rates and for waits."""
 _STEP_WEIGHT = 4
-"""The weight of the step's median length, in finished samples of the group."""
+"""The step's median length counts as much as this number of finished samples of the group."""
 _UNSEEN_LENGTH_FACTOR = 2
 """A sample longer than all finished ones is predicted to reach this multiple of its present
 length."""
@@ -48,7 +48,7 @@
     """Predicts a sample's length in tokens from the finished samples of its group and step."""
 
     def __init__(self, max_tokens: list[int], expected_tokens: list[int] | None = None) -> None:
-        """Take each group's maximum length and the trainer's estimate (0 for no estimate)."""
+        """Create a model from each group's maximum and the trainer's estimate (0 for none)."""
         self._max_tokens = max_tokens
         self._expected_tokens = expected_tokens or [0] * len(max_tokens)
         self._step = SlidingWindow(_MAX_STEP_LENGTHS)
@@ -72,8 +72,8 @@
         """
         Return the predicted length of a sample that is not started yet.
 
-        Before a sample of its group has finished this is the trainer's estimate, or the group's
-        maximum if there is no estimate.
+        Until a sample of the group has finished, the prediction is the trainer's estimate, or the
+        group's maximum if there is no estimate.
         """
         if group not in self._groups and self._expected_tokens[group]:
             return min(self._max_tokens[group], self._expected_tokens[group])
--- a/libs/samples/oleander_samples/registry.py
+++ b/libs/samples/oleander_samples/registry.py
@@ -54,8 +54,8 @@
     At `max_open_steps`, a step whose trainer has been silent for long is closed to admit a new
     one; without such a step the new one is refused. At `max_trainers`, the least recently updated
     trainer without an open step is evicted. An older incarnation of an evicted trainer is served
-    again until the newer one is heard. This wastes work but delivers no sample twice, because
-    each answer depends only on the samples that the pulling incarnation says it holds.
+    again until this entry learns of the newer one. This wastes work but delivers no sample twice,
+    because each answer depends only on the samples that the pulling incarnation says it holds.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
             return True
 
     def take_cancellations(self) -> list[str]:
-        """Return and clear the IDs of work to cancel, of open and of closed steps."""
+        """Return and clear the IDs of work to cancel in open and closed steps."""
         with self._lock:
             for item in self._list_open():
                 self._cancellations.extend(item.take_cancellations())
--- a/libs/samples/oleander_samples/scheduler.py
+++ b/libs/samples/oleander_samples/scheduler.py
@@ -12,15 +12,15 @@
 MAX_TEXT_CHARACTERS = 4 * 1024 * 1024
 """A sample whose text grows beyond this length is discarded and generated again."""
 MAX_PENDING_CANCELLATIONS = 64 * 1024
-"""Beyond this number the oldest cancellations are dropped, and their engines go on generating
-text that is discarded."""
+"""Beyond this number the oldest cancellations are dropped, and their engines continue to
+generate text that is discarded."""
 _INITIAL_BACKOFF_SECONDS = 0.1
 """The longest delay before the first retry of a sample; it doubles with each further failure."""
 _MAX_DOUBLINGS = 10
 """Maximum number of doublings, so that the computed delay can't overflow."""
 MAX_DISCARDED_PERCENT = 25
-"""For trainers that minimise staleness: the part of a sample's expected length that may be
-discarded to generate all of it with newer weights."""
+"""The percentage of a sample's expected length that may be discarded to generate the whole sample
+with newer weights; applies to trainers that minimise staleness."""
 
 
 class WorkScheduler:
@@ -29,7 +29,8 @@
 
     An unfinished sample either waits in the backlog or has one or two running attempts. If an
     attempt fails, the sample is resumed from its partial text. If the label of the text can't be
-    determined, or its oldest weights are too old to be delivered, it is generated from the start.
+    determined, or the oldest version in it is too old to be delivered, the sample is generated
+    from the start.
     """
 
     def __init__(
@@ -96,9 +97,9 @@
         """
         Return the next work to start: a waiting sample, or else another attempt at a straggler.
 
-        Stragglers are left alone while no engine has a free slot, since they would only wait
-        there. `free_slot_rate` is the rate at which the fastest engine with a free slot generates
-        one sample, in tokens per second; None if unknown.
+        No attempt at a straggler is started while no engine has a free slot, since the attempt
+        would only wait for one. `free_slot_rate` is the rate at which the fastest engine with a
+        free slot generates one sample, in tokens per second; None if unknown.
         """
         number = self._backlog.pop(now)
         if number is not None:
@@ -200,7 +201,7 @@
         return found
 
     def stop_sample(self, number: int) -> tuple[str, ...]:
-        """Stop work on a sample that now exists; return the work IDs that were running."""
+        """Stop work on a finished or held sample; return the work IDs that were running."""
         redundant = self._attempts.find_all(number)
         for attempt in redundant:
             self._remove(attempt.work.work_id)
@@ -315,7 +316,7 @@
         """
         Cancel a sample's attempts and resume it from its longest partial text.
 
-        Return None, leaving the attempts alone, if migration is off or if tokens would be lost.
+        Return None, without cancelling anything, if migration is off or if tokens would be lost.
         """
         same = self._attempts.find_all(number)
         partials = [partial for item in same if (partial := item.build_partial()) is not None]
@@ -343,7 +344,7 @@
         self._backlog.update_rank(attempt.work.group)
 
     def _is_worth_restarting(self, attempt: work.Attempt) -> bool:
-        """Return whether so few tokens have older weights that all of them may be discarded."""
+        """Return whether some tokens are outdated, and few enough to discard the text."""
         outdated = attempt.outdated_tokens if self._max_discarded_percent else 0
         expected = self._lengths.predict_unstarted(attempt.work.group)
         return 0 < outdated * 100 <= expected * self._max_discarded_percent
--- a/libs/samples/oleander_samples/steps.py
+++ b/libs/samples/oleander_samples/steps.py
@@ -17,7 +17,7 @@
     max_tokens: int
     """The maximum number of tokens of each sample."""
     expected_tokens: int = 0
-    """The trainer's estimate of the tokens of a sample; 0 if it gave none."""
+    """The trainer's estimate of the number of tokens of a sample; 0 if it gave none."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/libs/samples/oleander_samples/work.py
+++ b/libs/samples/oleander_samples/work.py
@@ -16,10 +16,11 @@
 _WINDOW_TOKENS = 512
 """A rate is averaged over the time in which a typical engine generates this many tokens."""
 _MAX_WINDOW_SECONDS = 5.0
-"""With a longer window a slow engine keeps its text for most of the time in which the step is
-due."""
+"""The maximum length of the window of a rate measurement. With a longer one a slow engine is
+detected late and keeps its text for most of the time within which the step is due."""
 _MIN_WINDOW_SECONDS = 1.5
-"""With a shorter window an engine that pauses for a second to load weights looks slow."""
+"""The minimum length of the window of a rate measurement. With a shorter one an engine that pauses
+for a second to load weights looks slow."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -44,7 +45,8 @@
     oldest_version: int
     """The oldest weight version with which a generated token is not stale."""
     is_hedge: bool
-    """Whether it starts beside a running attempt at the same sample; the first result counts."""
+    """Whether another attempt at the sample was running when this one started; the first result
+    counts."""
     expected_tokens: int = 0
     """The predicted number of tokens that remain to be generated."""
 
@@ -130,12 +132,12 @@
 
     @property
     def oldest_version(self) -> int | None:
-        """The oldest weight version stated for any of its tokens; None if none was stated."""
+        """The oldest weight version stated for a token of the text; None if none was stated."""
         return self._label.oldest_version
 
     @property
     def outdated_tokens(self) -> int:
-        """The number of tokens of older weight versions than its newest one."""
+        """The number of tokens generated with older weight versions than the text's newest one."""
         return self._label.outdated_tokens
 
     @property
@@ -155,7 +157,7 @@
         """
         The rate from the first piece to the last in tokens per second; None without tokens.
 
-        If all tokens came at one moment, the time is measured from the start of the attempt.
+        If all tokens arrived at the same time, the time is measured from the start of the attempt.
         Otherwise the wait for a free slot is left out. Including it makes the engines of a
         crowded step look half as fast as they are, which hides an engine that is three times
         slower than the others.
@@ -185,11 +187,11 @@
         """
         Return the attempt's recent rate in tokens per second.
 
-        Call it regularly: each call may advance the window over which the rate is averaged. The
-        window is short, because an engine that stalls after a good start would look fast on
-        average for as long as it had run well. `_PRIOR_TOKENS` at the typical rate are added, so
-        that a new attempt is not a straggler. The wait for the first piece counts only beyond
-        `max_wait_seconds`.
+        Call this regularly: each call may advance the window over which the rate is averaged. The
+        window is short: over a long one, an engine that stalls after a fast start would still
+        look fast on average for as long as it had been fast. `_PRIOR_TOKENS` at the typical rate
+        are added, so that a new attempt is not a straggler. The wait for the first piece counts
+        only beyond `max_wait_seconds`.
         """
         window_seconds = max(_MIN_WINDOW_SECONDS, _WINDOW_TOKENS / typical_rate)
         if now - self._next_window[0] >= min(_MAX_WINDOW_SECONDS, window_seconds):
