--- a/libs/routing/oleander_routing/health.py
+++ b/libs/routing/oleander_routing/health.py
@@ -12,9 +12,9 @@
 _MAX_EXCESS_FAILURE_RATE = 0.3
 """How far a peer's failure rate, from 0 to 1, may exceed the median of its backend."""
 _MAX_LATENCY_RATIO = 3.0
-"""How many times the median latency of its backend a peer's latency may reach."""
+"""Maximum ratio of a peer's average latency to the median of its backend."""
 _PROBES_TO_READMIT = 3
-"""Successful probes in a row after which an ejected peer gets work again."""
+"""Successful probes in a row after which an ejected peer is readmitted."""
 _RAMP_SECONDS = 10.0
 """Time over which a readmitted peer's weight rises to 1."""
 _MIN_RAMP_WEIGHT = 0.1
@@ -71,11 +71,11 @@
 
 class HealthTable:
     """
-    Health of all peers by the outcomes of requests; not thread-safe.
+    Tracks the health of all peers by the outcomes of requests; not thread-safe.
 
     A peer with a partial ("grey") failure accepts requests and then fails them or answers late.
-    Its reports show little load, so balancing by load alone would send it more and more. It is
-    therefore compared with the other peers of its backend by the outcomes of requests. A fault
+    Its reports show little load, so balancing by load alone would send it ever more requests. It
+    is therefore compared with the other peers of its backend by the outcomes of requests. A fault
     that all peers share (bad requests, a slow store) moves the median as well and ejects none.
     At most half of a backend's peers are ejected, so that a false detection can't take the
     backend down.
@@ -89,7 +89,7 @@
         self._health_by_peer: collections.OrderedDict[str, _PeerHealth] = collections.OrderedDict()
 
     def reset_if_restarted(self, name: str, incarnation: str) -> None:
-        """Reset a peer's health if its sidecar has a new incarnation, so was restarted."""
+        """Reset a peer's health if a new incarnation shows that its sidecar was restarted."""
         health = self._find_or_add(name)
         if health.incarnation != incarnation:
             self._health_by_peer[name] = _PeerHealth(incarnation)
@@ -116,10 +116,10 @@
         self, name: str, group: list[str], failed: bool, latency_ms: float | None, now: float
     ) -> None:
         """
-        Record a request's outcome, and eject or readmit the peer by it.
+        Record a request's outcome, and eject or readmit the peer accordingly.
 
         `group` holds the names of all usable peers of the backend, with which it is compared.
-        `latency_ms` is None for a request that failed before its time was up: how soon it failed
+        `latency_ms` is None for a request that failed before its deadline: how soon it failed
         says nothing about the peer's latency.
         """
         health = self._find_or_add(name)
--- a/libs/routing/oleander_routing/loads.py
+++ b/libs/routing/oleander_routing/loads.py
@@ -1,4 +1,4 @@
-"""Estimates the current load of peers from reports that lag behind."""
+"""Estimates the current load of peers from reports that may be out of date."""
 
 import math
 
--- a/libs/routing/oleander_routing/peers.py
+++ b/libs/routing/oleander_routing/peers.py
@@ -11,7 +11,7 @@
 """Weight of the newest interval in its moving average."""
 _SLOTS_PER_PENDING_STREAM = 3
 """
-Slots of a peer for each stream that may wait in its queue.
+A peer's queue may hold one waiting stream for each group of this many slots, and at least one.
 
 With a short queue the peer fills a freed slot without a round trip to the entry, while all other
 requests stay at the entry and can go to any peer that has a free slot.
@@ -66,12 +66,12 @@
     outstanding: float = 0.0
     """Estimated number of requests queued or running now, of all entries."""
     is_listed_leaving: bool = False
-    """Whether the host list marks it as leaving; independent of its own `leaving`."""
+    """Whether the host list marks the peer as leaving; independent of its own `leaving`."""
     weight: float = 1.0
-    """Fraction of its usual requests that it gets, from 0 to 1; 0 while ejected."""
+    """Fraction of its usual requests that the peer gets, from 0 to 1; 0 while ejected."""
     models: collections.abc.Mapping[str, int] = dataclasses.field(default_factory=dict)
     window: windows.RequestWindow = dataclasses.field(default_factory=windows.RequestWindow)
-    """Limits the windowed (deferrable) requests that this entry has in flight there."""
+    """Limits the windowed (deferrable) requests that this entry has in flight at the peer."""
 
     @property
     def load(self) -> float:
@@ -85,16 +85,16 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether the peer is not ejected and, by estimate, has a free slot."""
+        """Whether the peer is not ejected and seems to have a free slot."""
         return self.weight > 0.0 and self.has_free_slot
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether, by this entry's own requests alone, a slot is free and none waits for one."""
+        """Whether this entry's own requests leave a slot free and no stream waits for one."""
         return self.in_flight < self.slots and not self.pending_streams
 
     def can_take_windowed(self, now: float) -> bool:
-        """Return whether one more windowed request may be sent to it now."""
+        """Return whether one more windowed request may be sent to the peer now."""
         if self.pending_streams >= max(1, self.slots // _SLOTS_PER_PENDING_STREAM):
             return False
         return self.window.is_open(self.in_flight, self.slots, now)
--- a/libs/routing/oleander_routing/preferred.py
+++ b/libs/routing/oleander_routing/preferred.py
@@ -5,11 +5,11 @@
 
 class PreferredPeers:
     """
-    Picks a fixed subset of each backend's peers, even over failure domains; not thread-safe.
+    Picks a fixed subset of each backend's peers, evenly over failure domains; not thread-safe.
 
-    If every entry used every server, there would be entries times servers connections. Each would
-    be used so rarely that it closes as idle, so that every request opens a new one and the
-    servers run out of channels.
+    If every entry used every server, each pair of an entry and a server would have a connection.
+    Each connection would be used so rarely that it is closed as idle, so that every request opens
+    a new one and the servers run out of channels.
     """
 
     def __init__(self, entry_name: str, limit: int) -> None:
--- a/libs/routing/oleander_routing/retries.py
+++ b/libs/routing/oleander_routing/retries.py
@@ -5,11 +5,11 @@
 import threading
 
 _RETRY_COST = 100
-"""Credit that a retry costs; a first attempt earns `percent` of credit."""
+"""Credit that a retry costs; a first attempt earns a credit of `percent`."""
 _MAX_CUSTOMERS = 1000
 """Bounds the memory; the budget that was not used for longest is dropped first."""
 _MAX_DOUBLINGS = 30
-"""Bounds the power of two; attempts may be any number."""
+"""Bounds the power of two, because the attempt number is unbounded."""
 
 
 class RetryBudget:
--- a/libs/routing/oleander_routing/router.py
+++ b/libs/routing/oleander_routing/router.py
@@ -1,4 +1,9 @@
-"""Chooses the backend server for each request by load, health, version and affinity."""
+"""
+Chooses the backend server for each request by load, health, version and affinity.
+
+A peer is a connected sidecar with its backend server. A windowed request is a deferrable one,
+which is sent only to a peer whose request window is open.
+"""
 
 import collections.abc
 import dataclasses
@@ -21,17 +26,17 @@
 """All servers that could run the request were tried already."""
 
 WINDOWS_FULL = "windows-full"
-"""The windows of all servers that could run the request are full."""
+"""The request windows of all servers that could run the request are full."""
 
 _MAX_PEERS = 4096
 """Bounds the memory; further peers are ignored."""
 _PROBE_FRACTION = 0.01
 """Fraction of first attempts that go to an ejected peer as a probe."""
 _WINDOWED_PROBE_FRACTION = 0.05
-"""Fraction of windowed requests that are probes: one or two in a batch of some fifty."""
+"""Fraction of windowed requests that are probes: one or two in a batch of about fifty."""
 _MIN_RETRY_AFTER_MS = 50
 _DEFAULT_RETRY_AFTER_MS = 1000
-"""Retry time where no eligible peer exists whose waiting time could be given."""
+"""Retry time if no eligible peer is left whose predicted waiting time could be used."""
 
 
 class RouteOutcome(enum.Enum):
@@ -58,7 +63,7 @@
     """Names of peers that must not be chosen, as they were tried already."""
     budget_ms: int
     may_probe: bool = True
-    """Whether an ejected peer may be probed with it; False for non-repeatable requests."""
+    """Whether the request may probe an ejected peer; False for non-repeatable requests."""
     model: str = ""
     """The model to which `oldest_version` applies, if peers have several models."""
     is_windowed: bool = False
@@ -133,8 +138,9 @@
         Set which peers the host list marks as leaving; these get no more requests.
 
         Replaces the earlier set, so that a correction of the host list takes effect without a
-        restart. The names are stored apart from the peers, because a peer is removed with its
-        link: a leaving host whose link broke while the host list was down got work again.
+        restart. The names are stored apart from the peers, because a peer is removed when its
+        link is lost: a leaving host whose link broke while the host list was unavailable got work
+        again.
         """
         with self._lock:
             self._listed_leaving = names
@@ -298,7 +304,7 @@
         Return the candidates whose windows are open, or none if only ejected ones are open.
 
         A server that refuses connections has nothing in flight, so its window stays open when all
-        others are full, and waiting requests would be sent there over and over. Ejected peers are
+        others are full, and waiting requests would be sent to it repeatedly. Ejected peers are
         therefore returned only beside a healthy one, or if all candidates are ejected. They must
         not be left out altogether, or they are never probed: a server that was slow for 8 s got
         no batch work from that process for the rest of the day.
--- a/libs/routing/oleander_routing/selection.py
+++ b/libs/routing/oleander_routing/selection.py
@@ -10,9 +10,9 @@
 """Multiple of the mean load up to which a peer is given requests for its prefixes."""
 _HASH_RANGE = 2.0**64
 _MAX_DELAY_MS = 400
-"""A peer is too slow if a stream is expected to end later there by more than this."""
+"""A peer is too slow if a stream is expected to end more than this later than on the fastest."""
 _EQUAL_INTERVAL_RATIO = 1.15
-"""Peers whose event intervals differ by less count as equally fast, as load changes them too."""
+"""Peers whose event intervals differ by less count as equally fast: load affects them too."""
 
 
 def pick_by_load(
@@ -40,9 +40,9 @@
 
     Rendezvous hashing with bounded loads: each prefix ranks the peers by a hash, so that all
     entries agree and a peer that joins or leaves moves only its own prefixes. A popular prefix
-    would overload its first peer; above `_MAX_LOAD_RATIO` it goes to the next in the ranking,
-    which then caches it too. A peer that was just readmitted gets a fixed part of its prefixes,
-    by its weight.
+    would overload its first peer; above `_MAX_LOAD_RATIO` the next in the ranking gets it and
+    then caches it too. A peer that was just readmitted gets a fixed part of its prefixes, by its
+    weight.
     """
     slots = sum(max(1, peer.slots) for peer in candidates)
     outstanding = sum(peer.outstanding for peer in candidates) + 1
@@ -71,8 +71,8 @@
     Return the peers where a stream ends at most `_MAX_DELAY_MS` later than on the fastest.
 
     Peers of unknown speed are kept. The longest texts decide when a training step is complete: on
-    a peer that is a third slower they end seconds later, while short texts lose less there than
-    by waiting for a faster peer.
+    a peer that is a third slower they end seconds later, while short texts lose less time on such
+    a peer than by waiting for a faster one.
     """
     fastest = min(
         (peer.event_interval_ms for peer in candidates if peer.event_interval_ms), default=0.0
--- a/libs/routing/oleander_routing/windows.py
+++ b/libs/routing/oleander_routing/windows.py
@@ -1,4 +1,9 @@
-"""Adaptive limit on the deferrable requests that an entry has in flight at a server."""
+"""
+Adaptive limit on the deferrable requests that an entry has in flight at a server.
+
+The limit is the server's request window, and the requests that it applies to are called windowed.
+A trial is the single request that a refusing server gets, to find out whether it accepts again.
+"""
 
 import dataclasses
 
@@ -6,22 +11,24 @@
 """
 Initial limit, in multiples of the server's slots.
 
-One batch runs and one waits, so that long texts reach a server at the start of a training step.
+With this limit one batch runs and one waits, so that long texts reach a server at the start of a
+training step.
 """
 _MAX_WINDOW = 3.0
 """Upper limit, in multiples of the slots; queued requests can't move to another server."""
 _MIN_WINDOW = 1.0
-"""Lower limit, in multiples of the slots; a refusing server is full or loading, not slow."""
+"""Lower limit, in multiples of the slots; a server that refuses is full or loading, not slow."""
 _TRIAL_INTERVAL_FRACTION = 0.25
 """Pause before the next trial, as a fraction of the time for which a server has refused."""
 _MIN_TRIAL_INTERVAL_SECONDS = 0.1
-"""Minimum pause before the next trial; some round trips, and a small part of a short load."""
+"""Minimum pause before the next trial; takes as long as some round trips, and is a small part of
+even a short load of weights."""
 _MAX_TRIAL_INTERVAL_SECONDS = 0.4
-"""Maximum pause before the next trial; a server that has recovered stays idle until then."""
+"""Maximum pause before the next trial; a server that has recovered may stay idle for so long."""
 _MIN_REFUSAL_TTL_SECONDS = 1.0
 """Minimum time after a refusal for which the server is assumed to refuse further requests."""
 _REFUSAL_TIMEOUT_SECONDS = 0.06
-"""A trial that is not refused within this time was accepted, as servers refuse at once."""
+"""A trial that is not refused within this time counts as accepted, as servers refuse at once."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,21 +41,21 @@
     and nine of ten requests are refused and sent again.
 
     A server that refuses is full or loads weights. It then gets one request at a time, a
-    trial, until one is accepted. When the whole window was sent again after each pause, a server
-    that loaded for 0.9 s refused some 60 requests, and one that loaded for 2.8 s several hundred.
+    trial, until one is accepted. Sending the whole window again after each pause made a server
+    that loaded for 0.9 s refuse some 60 requests, and one that loaded for 2.8 s several hundred.
 
     A trial counts as accepted if it is not refused within `_REFUSAL_TIMEOUT_SECONDS`. Waiting for
-    the server to begin with the trial left servers idle: their slots may be held for long by
+    the server to begin to run the trial left servers idle: their slots may be held for long by
     earlier requests, and the requests that they could have queued meanwhile were not sent.
 
     A refusal expires after the time for which the server was seen to refuse, at least one second.
     Trials need requests, so none are made between training steps. Without the expiry the next
-    step began with a single trial, which met the next load of weights, and at low traffic one
-    server of four got no work for three steps.
+    step began with a single trial, which was refused because the server was loading weights
+    again, and at low traffic one server of four got no work for three steps.
     """
 
     size: float = INITIAL_WINDOW
-    """Maximum of requests in flight, in multiples of the server's slots."""
+    """Maximum number of requests in flight, in multiples of the server's slots."""
     refusing_since: float | None = None
     """Time of the first refusal since a request was accepted; None while none was refused."""
     refused_at: float = 0.0
@@ -58,7 +65,7 @@
     next_trial_at: float = 0.0
     """Earliest time of the next trial while the server refuses."""
     trial_sent_at: float | None = None
-    """Time of a trial that was not refused yet; None if there is none."""
+    """When the trial whose result is not known yet was sent; None if there is none."""
 
     @property
     def is_refusing(self) -> bool:
@@ -85,8 +92,8 @@
         """
         Record that the server has begun to run, or has answered, a request sent at `started_at`.
 
-        A request from before the first refusal does not end the refusing state: servers that load
-        weights go on with the requests that they already run.
+        A request from before the first refusal does not end the refusing state: a server that
+        loads weights continues to run the requests that it has begun.
         """
         if self.refusing_since is not None and started_at >= self.refusing_since:
             self._end_refusing(started_at)
@@ -122,7 +129,7 @@
         self.trial_sent_at = None
 
     def _schedule_trial(self, now: float, jitter: float) -> None:
-        """Set the next trial; a jitter from 0 to 1 spreads the trials of several entries."""
+        """Schedule the next trial; a jitter from 0 to 1 spreads the trials of several entries."""
         since = now if self.refusing_since is None else self.refusing_since
         seconds = min(_MAX_TRIAL_INTERVAL_SECONDS, (now - since) * _TRIAL_INTERVAL_FRACTION)
         self.next_trial_at = now + max(_MIN_TRIAL_INTERVAL_SECONDS, seconds) * (1.0 + jitter / 4)
