--- a/libs/admission/oleander_admission/admission.py
+++ b/libs/admission/oleander_admission/admission.py
@@ -14,7 +14,7 @@
 
 _PREEMPTIBLE = frozenset({contract.Priority.SAMPLING, contract.Priority.BACKGROUND})
 _MIN_RUNNING = 2
-"""Fewest running work items whose median overrun counts as a sign of a slow server."""
+"""Minimum number of running work items for their median overrun to indicate a slow server."""
 _MIN_RETRY_AFTER_MS = 50
 _MAX_RETRY_AFTER_MS = 60_000
 
@@ -110,7 +110,11 @@
                 self._condition.wait(remaining)
 
     def take_dropped(self) -> list[work.DroppedWork]:
-        """Return accepted work dropped since the last call; call often, as its callers wait."""
+        """
+        Return accepted work dropped since the last call.
+
+        Call this often, because the callers that sent the work are waiting for an answer.
+        """
         with self._condition:
             self._drop_expired(self._read_now())
             dropped = self._dropped
@@ -169,12 +173,12 @@
             return int(self._estimate_start_ms(ahead_ms, self._read_now()))
 
     def close(self) -> None:
-        """Refuse new work from now on; waiting and running work goes on."""
+        """Refuse new work from now on; waiting and running work is not affected."""
         with self._condition:
             self._is_leaving = True
 
     def drop_waiting(self) -> None:
-        """Drop all waiting work with the reason `LEAVING`; running work goes on."""
+        """Drop all waiting work with the reason `LEAVING`; running work is not affected."""
         with self._condition:
             now = self._read_now()
             for item in self._waiting.pop_all():
@@ -187,7 +191,7 @@
 
     def _estimate_cost_ratio(self, now: float) -> float:
         """
-        Return the factor from predicted to expected service time, including running work.
+        Return the factor from predicted to expected service time, with running work considered.
 
         When a backend server becomes slow, nothing completes for a while and the factor from
         completed work does not change, so work was admitted that could not end before its
@@ -204,7 +208,7 @@
         return max(ratio, statistics.median_low(elapsed))
 
     def _estimate_start_ms(self, ahead_ms: float, now: float) -> float:
-        """Return the time until work with `ahead_ms` of service before it gets a slot."""
+        """Return the time until work gets a slot if `ahead_ms` of service time precedes it."""
         ratio = self._estimator.compute_ratio(now)
         remaining_ms = [
             estimator.estimate_remaining_ms(
--- a/libs/admission/oleander_admission/estimator.py
+++ b/libs/admission/oleander_admission/estimator.py
@@ -50,7 +50,7 @@
     """
     Return the estimated time until running work ends.
 
-    Overdue work is assumed to need as much more time as it is late already. If it were assumed
+    Overdue work is assumed to need as much more time as it is already overdue. If it were assumed
     to end at once, a hanging backend server would always seem about to become free, and work
     would be accepted for it until the queue was full.
     """
@@ -61,10 +61,10 @@
     """
     Return the time until new work gets a slot.
 
-    `remaining_ms` holds the remaining time of each running work, and `ahead_ms` the total service
-    time of the waiting work that runs first. The waiting work is spread over the slots as they
-    become free so that all are busy until the same time. This is exact if the work can be divided
-    at will; otherwise the error is at most the length of one work.
+    `remaining_ms` holds the remaining time of each running work item, and `ahead_ms` the total
+    service time of the waiting work that runs first. The waiting work is spread over the slots as
+    they become free so that all are busy until the same time. This is exact if the work can be
+    divided at will; otherwise the error is at most the service time of one work item.
     """
     free_at = sorted([0.0] * max(0, slots - len(remaining_ms)) + remaining_ms)
     free_sum = 0.0
--- a/libs/admission/oleander_admission/fairness.py
+++ b/libs/admission/oleander_admission/fairness.py
@@ -68,8 +68,9 @@
     The waiting work of one priority class; not thread-safe.
 
     The caller bounds the number of entries. A customer with nothing waiting is kept only while its
-    credit is negative and at most 1000 customers are kept; beyond that its debt is dropped. All
-    debts are dropped once no customer has work waiting, as then none is disadvantaged by it.
+    credit is negative (a debt) and at most 1000 customers are kept; beyond that its debt is
+    dropped. All debts are dropped once no customer has work waiting, because no other customer is
+    then at a disadvantage.
     """
 
     def __init__(self) -> None:
@@ -190,7 +191,7 @@
             self._remove_idle(flow)
 
     def _remove_idle(self, flow: _Flow) -> None:
-        """Remove a customer with nothing waiting and its credit, unless the credit is negative."""
+        """Remove a customer with nothing waiting; one in debt only if too many are kept."""
         if flow.entries:
             return
         if flow.deficit_ms >= 0.0 or len(self._flows) > _MAX_FLOWS:
--- a/libs/admission/oleander_admission/priority_classes.py
+++ b/libs/admission/oleander_admission/priority_classes.py
@@ -14,7 +14,7 @@
 
 
 def find_priority_class(priority: int) -> contract.Priority:
-    """Return the nearest priority class, as peers may send any number."""
+    """Return the nearest priority class, because peers may send any number."""
     return contract.Priority(min(PRIORITIES[-1], max(PRIORITIES[0], priority)))
 
 
@@ -33,10 +33,10 @@
 
     Strict priority would starve the less urgent classes: a background sync that never got a slot
     under a steady load of bookings timed out each night. Whenever more urgent work runs, each
-    waiting class is therefore credited with a few percent of its service time. Once the credit
-    covers the next work of the class, that work runs first. The minimum share is counted in
-    service time and not in work items, so that long work can't get more than this share of the
-    slots.
+    waiting class is therefore credited with a few percent of that work's service time. Once the
+    credit covers the next work of the class, this next work runs first. The minimum share is
+    counted in service time and not in work items, so that long work can't get more than this
+    share of the slots.
     """
 
     def __init__(self) -> None:
