--- a/libs/backends/oleander_backends/engine.py
+++ b/libs/backends/oleander_backends/engine.py
@@ -41,13 +41,13 @@
 
     detail: str
     not_run: bool
-    """Whether the call certainly had no effect: it was not sent, or the engine refused it."""
+    """Whether the call certainly had no effect, as it was not sent or the engine refused it."""
     retry_after_ms: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineLoad:
-    """The load that the engine reports; it lags behind."""
+    """The load that the engine reports, which may be out of date."""
 
     running: int
     waiting: int
@@ -102,7 +102,7 @@
 
     @abc.abstractmethod
     def read_load(self, deadline: clock.Deadline) -> expression.Result[EngineLoad, EngineError]:
-        """Return the engine's load report, which lags behind."""
+        """Return the engine's load report, which may be out of date."""
 
     @abc.abstractmethod
     def read_version(
--- a/libs/backends/oleander_backends/http_engine.py
+++ b/libs/backends/oleander_backends/http_engine.py
@@ -24,7 +24,7 @@
     """
     Reads a generation, which is sent as one JSON object per line.
 
-    When the deadline passes, iteration ends with an error. The engine goes on generating then
+    When the deadline passes, iteration ends with an error. The engine continues to generate
     unless `cancel` is called.
     """
 
@@ -56,8 +56,8 @@
         """
         Stop the generation at the engine; thread-safe.
 
-        A blocked reader gets an error at once. The engine is told afterwards, which blocks the
-        caller of this method for at most two seconds.
+        A blocked reader gets an error at once. The cancel request is sent to the engine
+        afterwards, which blocks the caller of this method for at most two seconds.
         """
         if self._cancelled.is_set():
             return
@@ -105,7 +105,7 @@
     def read_load(
         self, deadline: clock.Deadline
     ) -> expression.Result[engine.EngineLoad, engine.EngineError]:
-        """Return the engine's load report, which lags behind."""
+        """Return the engine's load report, which may be out of date."""
         request = http_exchange.Request("GET", "/v1/load")
         received = _parse_answer(self._caller.call_idempotent(request, deadline))
         if received.is_error():
