--- a/libs/direct/oleander_direct/attempts.py
+++ b/libs/direct/oleander_direct/attempts.py
@@ -42,7 +42,7 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool],
     ) -> AttemptResult:
-        """Return a server's answer to a request, or the reason for its absence."""
+        """Call a server; return its answer to the request, or the failure if none was received."""
         started_at = clock.read_now()
         result = self._call_guarded(server, request, deadline, is_cancelled)
         milliseconds = (clock.read_now() - started_at) * 1000
@@ -132,8 +132,8 @@
     """
     Return how an attempt ended, as the crash guard counts it.
 
-    A failure status is no proof that the request is harmless: a server that gave a request up
-    might have ended had it run it to the end.
+    A failure status does not show that the request is harmless: a server that aborted a request
+    might have crashed if it had run the request to completion.
     """
     if result.is_ok():
         has_run = _may_have_started(result) and result.ok.status < FIRST_FAILURE_STATUS
@@ -149,7 +149,8 @@
     """
     Return an attempt's outcome for routing.
 
-    A cancelled attempt is rated only by its duration, as timed out.
+    An attempt that was cancelled before its deadline counts as timed out, because its duration
+    says something about the server's latency.
     """
     if result.is_error():
         if result.error.was_cancelled and not deadline.is_past:
--- a/libs/direct/oleander_direct/call_progress.py
+++ b/libs/direct/oleander_direct/call_progress.py
@@ -6,7 +6,7 @@
 from oleander_direct import attempts, call_outcomes, retry_advice, routes, servers
 
 _MIN_ATTEMPT_SECONDS = 0.02
-"""With less time left no attempt is sent: no server could answer in time, so its work is lost."""
+"""The least time left for an attempt; with less no server answers in time, so its work is lost."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -18,7 +18,7 @@
     backend: str
     deadline: clock.Deadline
     is_windowed: bool
-    """Whether this is a batch item, which waits while the windows of all servers are full."""
+    """Whether this is a batch item, sent only to servers whose request window is open."""
     excluded: set[str] = dataclasses.field(default_factory=set)
     """The ids of servers that were already asked."""
     sent_count: int = 0
@@ -30,7 +30,7 @@
     reason: str = ""
     """Why the last attempt failed, for logs and for the outcome."""
     was_suspect: bool = False
-    """Whether a server had ended while it ran this request when an attempt started."""
+    """Whether a crash was already recorded for the request when one of its attempts started."""
     quarantine: clock.Deadline | None = None
     """The end of the quarantine, if the request was not sent because of one."""
     is_finished: bool = False
@@ -72,7 +72,7 @@
         return None
 
     def conclude(self, advisor: retry_advice.RetryAdvisor) -> call_outcomes.CallOutcome:
-        """Return the outcome of a request without a final answer; refusals have a retry time."""
+        """Return the outcome if no answer was final; a refusal has a retry-after time."""
         if self.last_failure is not None:
             return self.last_failure
         if self.may_have_run:
--- a/libs/direct/oleander_direct/calls.py
+++ b/libs/direct/oleander_direct/calls.py
@@ -1,4 +1,8 @@
-"""Dispatch of callers' requests to backend servers, with retries and hedging."""
+"""
+Dispatch of callers' requests to backend servers, with retries and hedging.
+
+A hedge is an attempt at a second server that starts while the first attempt is still running.
+"""
 
 import collections.abc
 import concurrent.futures
@@ -23,7 +27,7 @@
 _REPLY_FRACTION = 0.05
 """The fraction of a caller's remaining time that is reserved for sending the answer back."""
 _MAX_REPLY_SECONDS = 0.1
-"""The longest such reserve; exceeds a trip within one region, including a retransmission."""
+"""The upper limit of that reserve; exceeds a network trip in one region and a retransmission."""
 _HEDGE_FRACTION = 0.4
 """
 The fraction of the target latency after which a second server is asked.
@@ -34,11 +38,11 @@
 """
 How many unused hedges may be saved for a burst.
 
-One slow server receives about this many of the calls of one second.
+One slow server receives about this many calls in one second.
 """
 _HEDGE_PERCENT = 15
 """
-Hedges in percent of requests.
+The limit on hedges, in percent of requests.
 
 At this rate hedging costs the servers less than one slow server costs callers.
 """
@@ -98,7 +102,7 @@
         is_caller_gone: collections.abc.Callable[[], bool],
         is_windowed: bool = False,
     ) -> call_outcomes.CallOutcome:
-        """Return the outcome of a request, at the latest a little before its deadline."""
+        """Dispatch a request; return the outcome at the latest a little before the deadline."""
         organisation = request.organisation
         if self._limiter is None or not organisation:
             return self._call(route, request, deadline, is_caller_gone, is_windowed)
@@ -221,7 +225,7 @@
         running: dict[concurrent.futures.Future[attempts.AttemptResult], str],
     ) -> None:
         """
-        Ask a second server, since the first may be slow or unresponsive, or its answer lost.
+        Start a hedge, since the first server may be slow or unresponsive, or its answer lost.
 
         A request that is suspected of crashing servers is not hedged: it could crash both.
         """
--- a/libs/direct/oleander_direct/crash_guard.py
+++ b/libs/direct/oleander_direct/crash_guard.py
@@ -12,7 +12,7 @@
 from oleander_quarantine import ledger, records
 
 _MAX_LOST_SERVERS = 256
-"""How many lost servers are remembered, for attempts that were still running at the loss."""
+"""How many lost servers are remembered, to attribute their loss to attempts that end later."""
 
 
 class CrashPublisher(abc.ABC):
@@ -48,7 +48,7 @@
     fingerprint: str
     server: servers.Server
     is_suspect: bool
-    """Whether a server had ended while running the request before this attempt started."""
+    """Whether a crash was recorded for the request before this attempt started."""
 
 
 class CrashGuard:
@@ -91,7 +91,7 @@
         return self._ledger.find_quarantine(fingerprints.compute_fingerprint(request), first)
 
     def is_suspect(self, request: servers.CallRequest) -> bool:
-        """Return whether a server ended running a request that no server has answered since."""
+        """Return whether crashes are recorded for a request that no server has answered since."""
         if self._ledger.is_empty:
             return False
         return self._ledger.is_suspect(fingerprints.compute_fingerprint(request))
--- a/libs/direct/oleander_direct/directory.py
+++ b/libs/direct/oleander_direct/directory.py
@@ -24,7 +24,7 @@
 
     version: int
     read_at: float
-    """When this process read it, in monotonic seconds."""
+    """When this process read the version's record, in monotonic seconds."""
 
 
 class Directory:
@@ -72,7 +72,7 @@
         return clock.read_now() - self._configuration_read_at
 
     def record_configuration_read(self) -> None:
-        """Record that the operator's records were read to their end."""
+        """Record that the operator's configuration records were read to their end."""
         self._configuration_read_at = clock.read_now()
 
     def record_list_read(self) -> None:
@@ -167,7 +167,7 @@
         return [item for item in found if not item.is_leaving]
 
     def _notify_replaced(self, known: servers.Server | None, server: servers.Server) -> None:
-        """Report the loss of earlier incarnations with a new one's id or address."""
+        """Report as lost the earlier incarnations whose id or address a new incarnation uses."""
         with self._lock:
             replaced = [
                 item
--- a/libs/direct/oleander_direct/organisations.py
+++ b/libs/direct/oleander_direct/organisations.py
@@ -27,16 +27,16 @@
     """
     Whether the Authorization header is removed before the request goes to a server.
 
-    It is when the configuration has organisations, so that the header may hold one of their keys.
+    It is removed if the configuration has organisations, since it may then hold one of their keys.
     """
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class UnknownKey:
-    """The presented key belongs to no organisation in the configuration known here."""
+    """The presented key belongs to no organisation in this process's configuration."""
 
     is_definitive: bool
-    """Whether the newest configuration lacks the key too; if False, another entry may know it."""
+    """Whether the configuration is the newest; if False, another entry may know the key."""
 
 
 class KeyRing:
@@ -68,12 +68,12 @@
     keys: KeyRing | None, authorization: str, is_public: bool, is_current: bool
 ) -> Caller | UnknownKey:
     """
-    Return the caller that an Authorization header identifies, by the configuration known here.
+    Return the caller that an Authorization header identifies in this process's configuration.
 
     A configuration without organisations requires no key, and the client's Authorization header
     is passed on to the server. `is_current` states that no newer configuration can be in force.
-    Otherwise a key that was just added may be unknown here, and its owner must not be told that
-    the key is invalid.
+    Otherwise this process may not know a key that was just added, and the key's owner must not
+    be told that it is invalid.
     """
     if keys is None:
         return Caller()
--- a/libs/direct/oleander_direct/retry_advice.py
+++ b/libs/direct/oleander_direct/retry_advice.py
@@ -7,7 +7,11 @@
 from oleander_base import clock
 
 _MIN_RETRY_AFTER_MS = 150
-"""About the duration of one request, after which a full server has a free slot again."""
+"""
+The shortest retry-after time.
+
+It is about the duration of one request, after which a full server has a free slot again.
+"""
 _MAX_TARGET_FRACTION = 0.4
 """
 The longest retry-after time, as a fraction of the route's target latency.
@@ -15,7 +19,7 @@
 A caller that retries once after this time can still be answered within the target.
 """
 _WINDOW_SECONDS = 1.0
-"""Answers and refusals are counted over the current window and the one before it."""
+"""The length of a window; counts cover the current window and the one before it."""
 _JITTER_FRACTION = 0.25
 """Random fraction added or subtracted, so that callers refused together don't retry together."""
 
--- a/libs/direct/oleander_direct/routes.py
+++ b/libs/direct/oleander_direct/routes.py
@@ -63,14 +63,14 @@
         return self.kind in {RouteKind.IDEMPOTENT, RouteKind.BATCH} or self.is_resumable
 
     def pick_backend(self, source: random.Random) -> str:
-        """Return a backend at random by the weights, or an empty string if none has any."""
+        """Return a backend chosen at random by weight, or an empty string if all weights are 0."""
         usable = [share for share in self.shares if share.weight > 0]
         if not usable:
             return ""
         return source.choices(usable, [share.weight for share in usable])[0].backend
 
     def pick_backend_by_key(self, key: str) -> str:
-        """Return a backend by the weights; a key gives the same backend in every process."""
+        """Return a backend chosen by weight and key, the same one in every process."""
         return self.pick_backend(random.Random(identifiers.hash_text(key)))
 
 
@@ -120,7 +120,7 @@
         return next((item for item in self.backends if item.name == name), None)
 
     def requires_single_version(self, backend: str) -> bool:
-        """Return whether any route to a backend requires single-version texts."""
+        """Return whether any route to a backend requires one weight version for all of a text."""
         return any(
             route.is_single_version and any(share.backend == backend for share in route.shares)
             for route in self.routes
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -30,7 +30,7 @@
 
     server_id: str
     started_ms: int
-    """When it started, in milliseconds of its own clock; differs between incarnations."""
+    """When the server started, in milliseconds of its own clock; differs between incarnations."""
     backend: str
     address: str
     failure_domain: str
@@ -76,7 +76,7 @@
     did_not_run: bool
     """Whether the server stated that it did not run the request."""
     is_wrong_server: bool
-    """Whether another server now has the address; it did not run the request."""
+    """Whether another server, which now has the address, answered without running the request."""
     stamp: str
     """The server's proof that it ran the request; empty if it sent none."""
 
@@ -138,13 +138,13 @@
     model: str
     version: int
     keeps_requests_running: bool
-    """Whether running requests go on with the new weights; if False, they end before the load."""
+    """Whether running requests continue with the new weights; if not, they end before the load."""
     holder: str
     """The name of the process that holds the right to order this server."""
     fencing: int
     """The fencing token of the holder's lease, which is higher for each later holder."""
     accepted_orders: int
-    """The order takes effect only if the server has accepted exactly this many before it."""
+    """The order takes effect only if the server has accepted exactly this many orders before."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -154,7 +154,7 @@
     models: tuple[ModelVersion, ...]
     is_loading: bool
     accepted_orders: int
-    """How many orders it has accepted; orders state this count, so a late one has no effect."""
+    """How many orders it has accepted; orders state this count, so a late order has no effect."""
 
     def find_version(self, model: str) -> int | None:
         """Return the loaded version of a model, or None if the server does not have the model."""
--- a/libs/direct/oleander_direct/unanswered.py
+++ b/libs/direct/oleander_direct/unanswered.py
@@ -1,4 +1,4 @@
-"""Unanswered attempts whose server has not been heard from since."""
+"""Unanswered attempts whose server has not responded to any request since."""
 
 import collections
 import collections.abc
