--- a/libs/orders/oleander_orders/__init__.py
+++ b/libs/orders/oleander_orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers to load weights: planning, leases and crash protection."""
+"""Orders to backend servers to load weight versions: planning, leases and crash protection."""
 
 from oleander_orders import load_capacity, load_guard, load_throttle, order_leases, placement, plan
 
--- a/libs/orders/oleander_orders/load_capacity.py
+++ b/libs/orders/oleander_orders/load_capacity.py
@@ -1,4 +1,8 @@
-"""Estimates whether servers can load every published version, from measured rates and times."""
+"""
+Estimates whether servers can load every published version, from measured rates and times.
+
+A wave is a group of servers that may load a model at the same time, see `plan`.
+"""
 
 from oleander_base import clock
 from oleander_orders import placement
@@ -6,7 +10,7 @@
 _AVERAGE_WEIGHT = 0.3
 """The weight of the newest value in exponential moving averages."""
 _DEFAULT_LOAD_SECONDS = 1.0
-"""The load time assumed until the first load ends; it does not enter the average."""
+"""The load time assumed until the first load ends; it is not part of the average."""
 _MAX_UTILIZATION = 0.8
 """The fraction of the loading capacity that may be needed before servers skip versions."""
 _SINGLE_MODEL_RATIO = 1.25
@@ -16,7 +20,7 @@
 The ratio is computed for one model per server, every second version of which is skipped.
 """
 _SHARED_RATIO = 1.8
-"""Above this ratio models share servers again; in between nothing changes (hysteresis)."""
+"""Above this ratio models share servers again; between both, nothing changes (hysteresis)."""
 
 
 class LoadCapacity:
@@ -24,7 +28,8 @@
     Compares the rate of wanted loads with the rate of possible loads; not thread-safe.
 
     A weight store slows down when more than a few servers load at once. If more loads are wanted
-    than can run, servers lag behind, and training steps wait for one with recent enough weights.
+    than can run, servers lag behind, and training steps wait for a server with weights that are
+    recent enough.
     """
 
     def __init__(self) -> None:
@@ -63,7 +68,7 @@
         Return how many models may share a server if it skips every second version of each.
 
         If loads take longer than sharing allows, servers lag behind with all their models, and
-        training steps wait for one with recent enough weights.
+        training steps wait for a server with weights that are recent enough.
         """
         models = max(1, len(self._intervals))
         loads = servers / models * self._compute_version_rate() / 2
--- a/libs/orders/oleander_orders/load_throttle.py
+++ b/libs/orders/oleander_orders/load_throttle.py
@@ -8,10 +8,10 @@
 from oleander_orders import plan
 
 _MAX_ASKED_SERVERS = 12
-"""How many servers are asked before an order; in a larger fleet they are a random sample."""
+"""How many servers are asked before an order; if there are more, a random sample is asked."""
 _MAX_WAIT_SECONDS = 8.0
 """
-How long an order may be deferred before it is given anyway.
+How long an order may be deferred before it is sent anyway.
 
 Servers that report for ever that they are loading must not keep the others from new weights.
 """
@@ -38,7 +38,7 @@
         max_loading: int,
         is_loading: collections.abc.Callable[[servers.Server], bool],
     ) -> bool:
-        """Return whether too many are loading among the model's servers without the version."""
+        """Return whether too many of the servers that lack the order's version are loading."""
         outdated = _list_outdated(order, placed)
         asked = self._random.sample(outdated, min(_MAX_ASKED_SERVERS, len(outdated)))
         loading = sum(map(is_loading, asked))
--- a/libs/orders/oleander_orders/order_leases.py
+++ b/libs/orders/oleander_orders/order_leases.py
@@ -20,7 +20,7 @@
     new weights until the lease's term and the gap after it have passed. With a lease for each
     partition, the loss affects only the servers of the partitions that the holder had.
 
-    The platform assigns partitions to processes to say which should claim which lease. The
+    The platform assigns partitions to processes, which tells each which leases to claim. The
     assignment may change at any time, so a holder keeps its leases for as long as it lives.
     """
 
--- a/libs/orders/oleander_orders/placement.py
+++ b/libs/orders/oleander_orders/placement.py
@@ -9,7 +9,7 @@
 """The largest number of models that share a server, unless there are few servers."""
 _MIN_SERVERS_PER_MODEL = 4
 """
-The servers that each model gets at least, if there are as many.
+The minimum number of servers of each model, if there are as many servers.
 
 Some of them skip each version, and so can serve requests while the others load it.
 """
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -1,4 +1,9 @@
-"""The plan of which backend servers to order to load which weights, and when."""
+"""
+The plan of which backend servers to order to load which weights, and when.
+
+The servers of a model load a new version in waves: groups of servers to which the orders are sent
+one group after the other, so that the other servers can serve requests meanwhile.
+"""
 
 import collections.abc
 import dataclasses
@@ -20,9 +25,9 @@
 It exceeds a wave, since the end of a load is noticed up to `_CHECK_INTERVAL_SECONDS` late.
 """
 _FIRST_CHECK_SECONDS = 0.8
-"""The time from an order to the first check whether the server has loaded."""
+"""The time from an order to the first check whether the server has loaded the version."""
 _CHECK_INTERVAL_SECONDS = 0.25
-"""The interval between further checks; the server list would show the load a heartbeat later."""
+"""The interval between later checks; the server list shows a load only with the next heartbeat."""
 _ACCEPTED_TIMEOUT_SECONDS = 4.0
 """The time after which an accepted order is repeated if its version has not appeared."""
 _BUSY_RETRY_SECONDS = 0.3
@@ -46,15 +51,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingOrder:
-    """An order that was given or deferred, and whose version is not known to be loaded."""
+    """An order that was sent or deferred, and whose version is not known to be loaded."""
 
     order: PlannedOrder
     is_accepted: bool
     ordered_at: float
     check_at: float
-    """When to ask the server next whether it has loaded, in monotonic seconds."""
+    """When to ask the server next whether it has loaded the version, in monotonic seconds."""
     expires_at: float
-    """When the order may be given again, in monotonic seconds."""
+    """When the order may be sent again, in monotonic seconds."""
 
 
 def compute_wave_size(count: int) -> int:
@@ -95,15 +100,15 @@
         find_limit: LoadLimit,
     ) -> list[PlannedOrder]:
         """
-        Return the orders to give now to the servers of one backend, at most one for each server.
+        Return the orders to send now to the servers of one backend, at most one for each server.
 
-        A server loads the model first that is the most versions behind there, and among equals
-        the one whose version was published first. In a fixed order, the last model would never be
-        loaded if versions are published about as fast as they load, and its trainer would run out
-        of servers.
+        A server first loads the model that is the most versions behind on that server, and among
+        equals the one whose version was published first. In a fixed order of models, the last
+        would never be loaded if versions are published about as fast as they load, and no server
+        would be left for its trainer.
 
-        If only a limited number of servers may load a version, they are the first ones due, which
-        every process computes alike.
+        If only a limited number of servers may load a version, they are the first that are due,
+        in an order that is the same in every process.
         """
         now = clock.read_now()
         self._remove_finished(listed, now)
@@ -141,7 +146,7 @@
         return max(state.accepted_orders, self._accepted_counts.get(server.incarnation, 0))
 
     def defer(self, order: PlannedOrder) -> None:
-        """Defer an order whose server could not be asked, or when too many servers are loading."""
+        """Defer an order because its server could not be asked or too many servers are loading."""
         self._add_pending(order, False, _BUSY_RETRY_SECONDS)
 
     def record_outcome(
@@ -158,7 +163,7 @@
         self._add_pending(order, False, _UNCONFIRMED_RETRY_SECONDS)
 
     def list_unconfirmed(self) -> list[PlannedOrder]:
-        """Return accepted orders whose servers should be asked now whether they have loaded."""
+        """Return accepted orders whose servers should be asked now if the version is loaded."""
         now = clock.read_now()
         due = [
             item for item in self._pending.values() if item.is_accepted and item.check_at <= now
@@ -199,9 +204,9 @@
         Return the servers that should load the target now, in the order of the waves.
 
         If not every server can load every version, each model is placed on some servers only.
-        Those skip every second version as long as the trainer still accepts the one they have:
-        servers of odd and of even rank skip alternately. So when a version is published, half of
-        the servers can go on serving without loading it.
+        Those servers skip every second version as long as the trainer still accepts the one that
+        they have: servers of odd and of even rank skip alternately. So when a version is
+        published, half of the servers can continue to serve without loading it.
         """
         size = compute_wave_size(len(listed))
         skips_versions = self._must_skip_versions(len(listed))
@@ -227,10 +232,10 @@
 
     def _update_placement(self, listed: list[servers.Server], models: frozenset[str]) -> None:
         """
-        Update the assignment of models to servers; there is none if all can load every version.
+        Update the placement of models on servers, which is empty if all can load every version.
 
-        Otherwise servers that load for all trainers would spend most of their time loading, when
-        they serve no requests.
+        Without a placement, servers that can't load every version would load for all trainers and
+        spend most of their time loading, when they serve no requests.
         """
         if not self._must_skip_versions(len(listed)):
             self._placement, self._placement_inputs = {}, None
@@ -243,7 +248,7 @@
             self._placement, self._placement_inputs = placement.choose_placement(*inputs), inputs
 
     def _must_skip_versions(self, count: int) -> bool:
-        """Return whether a backend with `count` servers can't load every version on each."""
+        """Return whether a backend's `count` servers can't each load every version."""
         return self._capacity.exceeds_capacity(count, compute_wave_size(count))
 
     def _may_skip(self, server: servers.Server, rank: int, model: str, version: int) -> bool:
@@ -256,7 +261,7 @@
         return order.version - self._find_version(order.server, order.model)
 
     def _find_version(self, server: servers.Server, model: str) -> int:
-        """Return the version that a server has by the list or by its own later report."""
+        """Return the version that a server has by the list or its own report, if newer."""
         listed = server.find_version(model) or 0
         return max(listed, self._loaded_versions.get((server.incarnation, model), 0))
 
