--- a/libs/batches/oleander_batches/batch_table.py
+++ b/libs/batches/oleander_batches/batch_table.py
@@ -1,4 +1,8 @@
-"""The state of each batch, derived from the index; equal in all processes at the same offset."""
+"""
+The state of each batch, derived from the batch index that `records` describes.
+
+All processes that have read the index up to the same offset have the same state.
+"""
 
 import dataclasses
 
@@ -32,12 +36,12 @@
 
     accepted: records.Accepted
     first_read_at: float
-    """When this process read of the batch, on its monotonic clock. A batch's age is never computed
-    from the time of day of a host: with a clock one hour fast, items that have just been started
-    would be given up."""
+    """When this process read the batch's first record, on its monotonic clock. A batch's age is
+    never computed from the time of day of a host: with a clock one hour fast, items that have just
+    been started would be given up."""
     is_ended: bool = False
     result_locations: list[ResultLocation] = dataclasses.field(default_factory=list)
-    """The results in the order of the index, which is equal in all processes and never changes."""
+    """The results in the order of the index; it is equal in all processes and never changes."""
     finished_items: set[int] = dataclasses.field(default_factory=set)
     """The numbers of the items that have a result."""
     partials: dict[int, PartialLocation] = dataclasses.field(default_factory=dict)
@@ -62,7 +66,7 @@
     @property
     def allowed_lag(self) -> int | None:
         """
-        The number of versions by which its weights may lag behind its step; None if unknown.
+        How many versions the weights may lag behind the batch's step; None if unknown.
 
         A trainer submits a step once the weight version of the same number is announced. Versions
         start at 1, so the lag can't be derived from the steps 0 and 1.
@@ -72,7 +76,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the batch is not ended and has items without a result."""
+        """Whether the batch has not ended and has items without a result."""
         return not self.is_ended and len(self.finished_items) < self.total
 
 
--- a/libs/batches/oleander_batches/content.py
+++ b/libs/batches/oleander_batches/content.py
@@ -28,7 +28,7 @@
 
     detail: str
     may_have_effect: bool
-    """Whether the records may have been appended all the same, or may be later."""
+    """Whether the records may have been appended despite the failure, or may still be appended."""
     is_final: bool = False
     """Whether a retry can't succeed."""
 
@@ -97,7 +97,7 @@
     def read(
         self, batch_id: str, offset: int, deadline: clock.Deadline
     ) -> expression.Result[dict[int, bytes], JournalFailure]:
-        """Return the records from an offset on, by offset, as many as one read returns."""
+        """Return the records from an offset on, keyed by offset, as many as one read returns."""
         partition = self.find_partition(batch_id)
         page = self._log.read(CONTENT_TOPIC, partition, offset, 0, deadline)
         if page.is_error():
--- a/libs/batches/oleander_batches/index_reader.py
+++ b/libs/batches/oleander_batches/index_reader.py
@@ -10,7 +10,7 @@
 PARTITION = 0
 """The index has one partition, because its order defines the order of each batch's results."""
 _READ_TIMEOUT_SECONDS = 1.5
-"""The timeout of a read, which exceeds the long poll by the time a slow store takes to answer."""
+"""The timeout of a read: the long poll and the time that a slow store needs to answer."""
 _LONG_POLL_MS = 1000
 """How long a read waits for new records. It is below the bound on the age of the configuration, so
 that a connection without answers is detected in time."""
@@ -18,8 +18,8 @@
 """The timeout of a read while the log does not answer. Such a read does not wait for new records,
 so that an entry is soon usable once the log is back."""
 _IDLE_INTERVAL_SECONDS = 0.2
-"""The interval between reads while nobody waits; results of about the same time come in one
-read."""
+"""The interval between reads while no caller waits, so that one read returns the results of about
+the same time."""
 _ACTIVE_INTERVAL_SECONDS = 0.02
 """The interval between reads while a caller or a batch of this process waits for new records."""
 _RETRY_SECONDS = 0.2
@@ -66,7 +66,7 @@
 
     @property
     def complete_as_of(self) -> float:
-        """The time as of which all records of the index have been applied."""
+        """The time as of which the index is complete: all records from before it are applied."""
         return self._complete_as_of
 
     def follow(self) -> None:
@@ -107,7 +107,7 @@
                 self._demand_changed.wait(deadline.remaining)
 
     def refresh(self, since: float, deadline: clock.Deadline) -> bool:
-        """Read the index until it is applied as of `since`; return False if that fails in time."""
+        """Read the index until it is complete as of `since`; return False if this fails."""
         while self._complete_as_of < since:
             if deadline.is_past or not self._read_page(0, deadline):
                 return False
--- a/libs/batches/oleander_batches/journal.py
+++ b/libs/batches/oleander_batches/journal.py
@@ -10,7 +10,7 @@
 from oleander_platform import recordlog
 
 _RETRY_SECONDS = 0.2
-"""The least time left for another append to the index; the pause before it is half of this."""
+"""The least time left to repeat an append to the index; the pause before it is half of this."""
 _MAX_ACCEPTED_HERE = 256
 """Maximum number of batches remembered as accepted by this process; the information is needed only
 for some seconds."""
--- a/libs/claims/oleander_claims/keys.py
+++ b/libs/claims/oleander_claims/keys.py
@@ -1,8 +1,8 @@
 """
 The mapping of idempotency keys to claim shards.
 
-A key is protected while its claim lies within the window, which is the given number of newest
-records of its stream. A key whose claim is older is treated as a new one.
+A key is protected against a second run while its claim lies within the window, which is a fixed
+number of the newest records of the shard's stream. A key whose claim is older is treated as new.
 """
 
 from oleander_base import identifiers
--- a/libs/claims/oleander_claims/log_health.py
+++ b/libs/claims/oleander_claims/log_health.py
@@ -14,14 +14,14 @@
     """
     Tracks the outcome of the last append of one stream; thread-safe.
 
-    In an outage each claim would wait for an append of its own to time out, which takes most
-    callers' whole deadline. After one append has hung, claims of every stream are refused at once
-    until the log answers a read; reads go on all the time. After an append that failed quickly,
-    claims are accepted again soon.
+    In an outage each claim would wait for its own append to time out, which uses up most callers'
+    time until the deadline. After one append has hung, claims of every stream are refused at once
+    until the log answers a read; reads are tried all the time. After an append that failed
+    quickly, claims are accepted again soon.
     """
 
     def __init__(self, append_hung: threading.Event) -> None:
-        """Create the health of one stream; `append_hung` must be shared by all streams."""
+        """Create the tracker of one stream; `append_hung` must be shared by all streams."""
         self._append_hangs_at: clock.Deadline | None = None
         self._failing_until: clock.Deadline | None = None
         self._append_hung = append_hung
--- a/libs/claims/oleander_claims/shard.py
+++ b/libs/claims/oleander_claims/shard.py
@@ -1,4 +1,4 @@
-"""One shard of the claims: appends to its stream in groups and decides by record order."""
+"""One shard of the claims: appends them to a stream in groups and decides by record order."""
 
 import concurrent.futures
 import contextlib
@@ -15,7 +15,7 @@
 
 _MAX_CLAIMS_PER_APPEND = 200
 _MAX_WAITING_CLAIMS = 2000
-"""Claims that wait for an append; further ones are refused."""
+"""The number of claims that may wait for an append; further ones are refused."""
 _APPEND_SECONDS = 2.0
 """The timeout of an append."""
 _READ_BACK_SECONDS = 0.5
@@ -63,7 +63,7 @@
 
     A claimant acts only after its own record was read back as the claim in force. So an append
     whose answer was lost, or that takes effect after its claimant has given up, does no harm: the
-    claimant is gone, and the next one reads the record like any other claim.
+    claimant does not act, and the key's next claimant reads the record like any other claim.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
                 self._append_group(group)
 
     def _collect_group(self) -> list[_Proposal]:
-        """Return the waiting claims, so that those that arrive together share one append."""
+        """Return the waiting claims, so that claims that arrive together share one append."""
         try:
             group = [self._waiting.get(timeout=0.5)]
         except queue.Empty:
@@ -181,7 +181,7 @@
         self._health.record_append_end()
 
     def _are_read_back(self, group: list[_Proposal], error: logservice.LogError) -> bool:
-        """Return whether all claims of a failed append are decided, waiting if they may be."""
+        """Return whether all claims of a failed append are decided; wait if they still may be."""
         futures = [item.decision for item in group]
         if error.may_have_effect:
             concurrent.futures.wait(futures, timeout=_READ_BACK_SECONDS)
@@ -209,7 +209,7 @@
                 self._group.pause(_RETRY_SECONDS)
 
     def _find_start(self) -> bool:
-        """Set the start of reading one window before the end, since no process keeps more."""
+        """Start reading one window before the stream's end, since no process keeps more."""
         started_at = clock.read_now()
         page = self._service.read(
             self._stream, _OFFSET_BEYOND_END, 0, clock.start_deadline(_READ_SECONDS)
@@ -249,7 +249,7 @@
         log.warn_bounded("log-read-failed", f"{self._stream}: {error.detail}")
 
     def _skip_deleted(self, first_offset: int) -> None:
-        """Skip deleted records and fail the waiting claims, which may have been among them."""
+        """Skip deleted records and fail the waiting claims, whose records may be among them."""
         log.warn_bounded(
             "claims-deleted",
             f"{self._stream}: records {self._next_offset} to {first_offset} were deleted before "
--- a/libs/duties/oleander_duties/usage.py
+++ b/libs/duties/oleander_duties/usage.py
@@ -9,7 +9,7 @@
 
 _MAX_WINDOWS = 64
 """
-How many windows may have counts that were not taken.
+How many windows may have counts that `take_counts` has not yet returned.
 
 When there are more, the oldest window is dropped.
 """
--- a/libs/duties/oleander_duties/usage_totals.py
+++ b/libs/duties/oleander_duties/usage_totals.py
@@ -5,7 +5,7 @@
 from oleander_duties import usage_records
 
 MAX_WINDOWS = 64
-"""How many windows are kept; older ones are neither reported nor reported again."""
+"""How many windows are kept; older windows are not reported, whether they were before or not."""
 _MAX_SOURCES = 8192
 """
 How many sources are kept to detect repeated records.
@@ -38,7 +38,7 @@
         return min(self._sums, default=None)
 
     def find_report(self, window: int) -> dict[str, int] | None:
-        """Return the report of a window, whichever process decided it, or None."""
+        """Return the report of a window, whichever process recorded it, or None."""
         return self._reports.get(window)
 
     def sum_window(self, window: int) -> dict[str, int]:
--- a/libs/leases/oleander_leases/lease.py
+++ b/libs/leases/oleander_leases/lease.py
@@ -21,7 +21,11 @@
 _READ_SECONDS = 1.4
 """The timeout of a read, well below the term and the gap together."""
 _APPEND_SECONDS = 0.7
-"""The timeout of an append, below the renewal interval: two more fit into the term after it."""
+"""
+The timeout of an append.
+
+It is below the renewal interval, so that two more appends fit into the term after one times out.
+"""
 _RETRY_SECONDS = 0.2
 """The pause between attempts while the log does not answer."""
 _RELEASED = "released"
@@ -178,7 +182,11 @@
                 self._tenure = Tenure(tenure.fencing, deadline)
 
     def _append_record(self, state: str, fencing: int) -> int | None:
-        """Append at the end of the partition as read; return the offset, None if unconfirmed."""
+        """
+        Append a record if the partition still ends where this process has read to.
+
+        Return the record's offset, or None if the append was not confirmed.
+        """
         content = cbor2.dumps([self._name, self._host, state, fencing])
         deadline = clock.start_deadline(_APPEND_SECONDS)
         offset = self._next_offset
@@ -207,7 +215,7 @@
         return True
 
     def _apply(self, record: recordlog.RawRecord) -> None:
-        """Apply a record; one that can't be decoded counts as held, to be on the safe side."""
+        """Apply a record; one that can't be decoded counts as held, which avoids two holders."""
         try:
             holder, host, state, fencing = cbor2.loads(record.content)
         except (cbor2.CBORDecodeError, ValueError, TypeError):
--- a/libs/quarantine/oleander_quarantine/ledger.py
+++ b/libs/quarantine/oleander_quarantine/ledger.py
@@ -28,10 +28,10 @@
 The first quarantine of a batch item, a scoring request or a weight version.
 
 It is short, since many items run at one server: most of those that are recorded for repeated
-crashes only ran beside the cause, and their batch waits for them.
+crashes only ran at the same server as the cause, and their batch waits for them.
 """
 MAX_QUARANTINE_SECONDS = 6 * 3600.0
-"""The limit on the doubling of quarantines."""
+"""The longest quarantine, at which the doubling stops."""
 _EXPIRY_FACTOR = 2.0
 """Crashes expire after this many times the length of the quarantine that they led to."""
 _EXPIRY_JITTER = 0.5
@@ -43,7 +43,7 @@
 _MAX_SUSPECTS = 4096
 """When more requests have crashes, the one whose crashes were recorded first is evicted."""
 _MAX_CLEARED = 1024
-"""When more requests are cleared, the one that was answered longest ago is evicted."""
+"""When more requests are remembered as answered, the one answered longest ago is evicted."""
 _CLEARED_SECONDS = 60.0
 """How long after an answer no crashes are recorded for a request."""
 
@@ -53,7 +53,7 @@
     """The crashes that are recorded for one request."""
 
     crashes: dict[str, bool] = dataclasses.field(default_factory=dict)
-    """Whether the request ran alone, by the hash of the server's incarnation."""
+    """Whether the request ran alone at each lost server, by the hash of its incarnation."""
     crashed_at: float = 0.0
     """When the newest crash was recorded, in monotonic seconds."""
     expires_at: float = 0.0
@@ -61,12 +61,12 @@
 
     @property
     def crashes_over_threshold(self) -> int:
-        """The number of crashes above a threshold; negative if they lead to no quarantine."""
+        """How far the crashes exceed the threshold; negative if they lead to no quarantine."""
         alone = sum(self.crashes.values())
         return max(len(self.crashes) - CRASH_THRESHOLD, alone - CRASH_ALONE_THRESHOLD)
 
     def compute_release_time(self, initial_seconds: float) -> float:
-        """Return when the quarantine ends, given the length of a first one; monotonic seconds."""
+        """Return the end of the quarantine in monotonic seconds, given the length of the first."""
         seconds = initial_seconds * 2.0 ** max(0, self.crashes_over_threshold)
         return self.crashed_at + min(MAX_QUARANTINE_SECONDS, seconds)
 
@@ -100,7 +100,7 @@
         return not self._suspects
 
     def record_crash(self, key: records.CrashKey, was_alone: bool) -> bool:
-        """Record a crash; return False if it was known or its request was answered lately."""
+        """Record a crash; return False if it was known or its request was answered recently."""
         with self._lock:
             if self._is_cleared(key.fingerprint):
                 return False
@@ -133,7 +133,7 @@
                 del self._suspects[key.fingerprint]
 
     def pop_expired(self) -> list[records.CrashKey]:
-        """Remove the crashes of requests that have expired, and return them."""
+        """Remove the crashes that have expired, and return their keys."""
         with self._lock:
             now = self._read_now()
             expired = [name for name, item in self._suspects.items() if item.expires_at <= now]
