--- a/libs/base/oleander_base/http_connection.py
+++ b/libs/base/oleander_base/http_connection.py
@@ -9,7 +9,7 @@
 from oleander_base import clock
 
 _CANCELLATION_POLL_SECONDS = 0.1
-"""A blocked read checks for cancellation this often."""
+"""The interval at which a blocked read checks for cancellation."""
 
 
 def _never_cancelled() -> bool:
@@ -57,7 +57,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is open, as after an earlier request."""
+        """Whether the connection is open, for instance kept open after an earlier request."""
         return self.sock is not None
 
     @property
@@ -65,8 +65,8 @@
         """
         Whether the connection is open and has no unread input.
 
-        Unread input on an idle connection is either its end or an unsolicited response, which
-        would be returned to the caller of the next request.
+        Unread input on an idle connection means that the server has closed it or has sent an
+        unsolicited response, which would be returned to the caller of the next request.
         """
         if self.sock is None:
             return False
@@ -79,7 +79,7 @@
         deadline: clock.Deadline,
         is_cancelled: collections.abc.Callable[[], bool] = _never_cancelled,
     ) -> None:
-        """Set the deadline of the next request and the function that tells if it is cancelled."""
+        """Set the deadline of the next request and the function that checks its cancellation."""
         self._deadline = deadline
         self._is_cancelled = is_cancelled
         self._apply_deadline()
--- a/libs/base/oleander_base/http_exchange.py
+++ b/libs/base/oleander_base/http_exchange.py
@@ -202,7 +202,7 @@
     def call_idempotent(
         self, request: Request, deadline: clock.Deadline
     ) -> expression.Result[Response, ExchangeError]:
-        """Send a request on the idle connection, and again on a new one if that was closed."""
+        """Send a request on the idle connection; if that was closed, send it on a new one."""
         connection = self._take_connection()
         was_idle = connection.is_open
         if was_idle:
--- a/libs/base/oleander_base/http_pool.py
+++ b/libs/base/oleander_base/http_pool.py
@@ -12,15 +12,15 @@
 MAX_BODY_BYTES = http_exchange.MAX_BODY_BYTES
 _MAX_ADDRESSES = 4096
 _MAX_IDLE_PER_ADDRESS = 36
-"""As many requests as a batch runner may have in flight at one server, so that the connections
-of one training step are reused by the next."""
+"""The number of requests that a batch runner may have in flight at one server, so that the
+connections of one training step are reused by the next."""
 _DEFAULT_IDLE_SECONDS = 20.0
-"""Applies if a server does not send its own idle timeout in a Keep-Alive header."""
+"""The idle timeout of a server that does not send its own in a Keep-Alive header."""
 _CONNECT_SECONDS = 0.7
-"""Without packet loss a connection opens within a few round trips; a lost SYN packet is sent again
-only after a second."""
+"""The timeout for opening a connection: without packet loss this takes a few round trips, and a
+lost SYN packet is sent again only after a second."""
 _PROBE_SECONDS = 0.1
-"""The host of an ended process refuses a connection within a round trip."""
+"""The timeout of a probe: the host of an ended process refuses one within a round trip."""
 _FAILURES = (OSError, http.client.HTTPException, ValueError)
 _PEER_CLOSED_ERRORS = (ConnectionError, http.client.IncompleteRead)
 """Errors that mean that the server closed the connection, as opposed to a timeout."""
@@ -146,7 +146,7 @@
         return dataclasses.replace(described, peer_ended=self._is_connection_refused(address))
 
     def _is_connection_refused(self, address: str) -> bool:
-        """Tell whether nothing listens at an address; a connection that opens joins the pool."""
+        """Tell whether an address refuses connections; keep one that it accepts in the pool."""
         opened = self._connect(address, clock.start_deadline(_PROBE_SECONDS))
         if opened.is_error():
             return opened.error.reach is http_exchange.Reach.REFUSED
@@ -326,9 +326,9 @@
     reused: http_connection.Connection | None, error: http_exchange.ExchangeError
 ) -> http_exchange.ExchangeError:
     """
-    Return the error of a new connection, adjusted for an attempt on an idle one before it.
+    Return the error of a request whose new connection failed to open.
 
-    The server may have received the request on the idle connection.
+    If the request was sent on an idle connection before, the server may have received it there.
     """
     if reused is None:
         return error
--- a/libs/base/oleander_base/json_input.py
+++ b/libs/base/oleander_base/json_input.py
@@ -115,7 +115,7 @@
         return False
 
     def take_object_or_empty(self, name: str) -> dict[str, typing.Any]:
-        """Return an object unchecked; any other value gives an empty one without a finding."""
+        """Return an object with unchecked fields; for other values an empty one, no finding."""
         value = self._content.get(name)
         return value if isinstance(value, dict) else {}
 
--- a/libs/base/oleander_base/log.py
+++ b/libs/base/oleander_base/log.py
@@ -17,12 +17,12 @@
 _REPEAT_INTERVAL_SECONDS = 10.0
 _MAX_TRACKED_EVENTS = 1000
 _MAX_PENDING_LINES = 2000
-"""Lines queued for writing; further lines are dropped and counted."""
+"""The maximum number of lines queued for writing; further ones are dropped and counted."""
 _MAX_TRACEBACK_CHARACTERS = 2000
 
 
 class _RepeatLimiter:
-    """Admits each event at most once in ten seconds; the oldest of 1000 events is evicted."""
+    """Admits each event at most once in ten seconds; tracks 1000 events, then evicts the oldest."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
--- a/libs/base/oleander_base/tasks.py
+++ b/libs/base/oleander_base/tasks.py
@@ -38,8 +38,8 @@
         """
         Run a task that lasts as long as the group, and restart it after an exception.
 
-        Otherwise an unexpected error could end, for instance, the task that keeps a link open:
-        the process would look healthy and never use that sidecar again.
+        Otherwise an unexpected error could end, for instance, the task that keeps an entry's link
+        to a sidecar open: the entry would look healthy but never use that sidecar again.
         """
         return self.start(lambda: self._run_with_restarts(task))
 
--- a/libs/contracts/oleander_contracts/contract.py
+++ b/libs/contracts/oleander_contracts/contract.py
@@ -31,7 +31,7 @@
     repeatable: bool
     """Whether one request may run more than once; otherwise it runs at most once."""
     timeout_ms: int
-    """An answer that takes longer counts as late."""
+    """The time allowed for an answer; an answer that takes longer counts as late."""
     worth: int
     """The weight of one answered request in the customer's service percentage."""
     generates: bool
@@ -46,10 +46,11 @@
     backend: str
     model: str
     staleness_bound: int
-    """The most weight versions that a delivered sample may be behind the trainer."""
+    """The maximum number of weight versions by which a delivered sample lags the trainer."""
     objective: Objective
     hedge_percent: int
-    """The most additional generation for stragglers, in percent of a step's expected tokens."""
+    """The maximum additional generation for stragglers (the slowest generations of a step), in
+    percent of the step's expected tokens."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/libs/contracts/oleander_contracts/fields.py
+++ b/libs/contracts/oleander_contracts/fields.py
@@ -96,7 +96,7 @@
         return ""
 
     def read_choice(self, name: str, choices: collections.abc.Mapping[str, _Choice]) -> _Choice:
-        """Return the value of the chosen word; the first choice if it is invalid."""
+        """Return the value for the field's word; the first value if the word is invalid."""
         first = next(iter(choices.values()))
         node = self._find_node(name, True)
         if node is None:
--- a/libs/contracts/oleander_contracts/readers.py
+++ b/libs/contracts/oleander_contracts/readers.py
@@ -19,7 +19,8 @@
 MAX_OPERATIONS = 64
 MAX_TRAINERS = 16
 RESERVED_OPERATION = "trainer"
-"""Not allowed as an operation: names of trainer counters have it in the operation's place."""
+"""Not allowed as the name of an operation, because the names of the trainers' counters have this
+word where those of the operations' counters have the operation."""
 
 ContractResult = expression.Result[contract.Contract, findings.Findings]
 
--- a/libs/contracts/oleander_contracts/state.py
+++ b/libs/contracts/oleander_contracts/state.py
@@ -83,7 +83,7 @@
         )
 
     def find_regression(self, after: "ConfigurationState") -> str:
-        """Describe the first item that is older or missing in another state; empty if none."""
+        """Describe the first item that is older or missing in `after`; return '' if none is."""
         for customer, contract in self._contracts.items():
             if _read_offset(after.contracts.get(customer)) < contract.offset:
                 return f"the contract of {customer}"
--- a/libs/platform/oleander_platform/keyed_follower.py
+++ b/libs/platform/oleander_platform/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Follows a keyed topic of the platform's log, of which the newest value of each key counts."""
+"""Follows a keyed topic of the log, in which only the newest value of each key is valid."""
 
 import abc
 
@@ -6,11 +6,12 @@
 from oleander_platform import recordlog
 
 _WAIT_MS = 1000
-"""Short enough that a change takes effect in time even if the connection has become silent."""
+"""How long a read waits for records: short enough that a connection on which nothing arrives any
+more is detected in time for a change to take effect."""
 _READ_SECONDS = 1.4
-"""Longer than the wait for records by the time of a slow answer."""
+"""The timeout of a read: the wait for records and the time that a slow answer takes."""
 _PROBE_SECONDS = 0.6
-"""For a read while the log is unavailable, which does not wait for records."""
+"""The timeout of a read while the log is unavailable; it does not wait for records."""
 _RETRY_SECONDS = 0.2
 """Delay between reads while the log does not answer, which limits the calls to five a second."""
 _PARTITION = 0
--- a/libs/wire/oleander_wire/link.py
+++ b/libs/wire/oleander_wire/link.py
@@ -29,7 +29,7 @@
 
     detail: str
     is_refused: bool = False
-    """Whether the connection was refused, so that no process listens at the address."""
+    """Whether the connection was refused, which means that no process listens there."""
 
 
 def _set_send_timeout(connected: socket.socket) -> None:
--- a/libs/wire/oleander_wire/messages.py
+++ b/libs/wire/oleander_wire/messages.py
@@ -3,6 +3,11 @@
 
 Messages carry remaining time in milliseconds rather than points of time, as the clocks of two
 hosts are never compared.
+
+The key of a non-repeatable request is assigned to one sidecar incarnation (one run of a sidecar's
+process) by a claim, which is a record in the log, or is a ticket: a key that names the incarnation
+itself and therefore needs no claim. To seal a key is to record that no attempt of its request so
+far will run at that incarnation; a later attempt may.
 """
 
 import dataclasses
@@ -16,7 +21,7 @@
 """The reason of an answer for a key that was used before with a different body."""
 
 TICKET_SHARD = -1
-"""The shard of a request whose key is a ticket, without a claim; `claim_offset` is its epoch."""
+"""The `shard` of a request whose key is a ticket; its `claim_offset` is the ticket's epoch."""
 
 
 class Outcome(enum.Enum):
@@ -62,12 +67,12 @@
     leaving: bool
     configuration_offset: int
     ticket_epoch: int
-    """The epoch to put into tickets for this sidecar; it shows the age of a ticket later."""
+    """The epoch to put into new tickets for this sidecar; it shows a ticket's age later."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RecordsOffer:
-    """The newest configuration record that the sender has applied, on request or on a change."""
+    """The newest configuration record that the sender applied; sent on request or on a change."""
 
     applied_offset: int
 
@@ -122,9 +127,9 @@
 @dataclasses.dataclass(slots=True, frozen=True)
 class Join:
     """
-    Ask the sidecar to which a key was assigned for its answer.
+    Ask the sidecar to which a key was assigned for the answer to the key's request.
 
-    A key that the sidecar has not received is sealed, so that it never runs there.
+    A key that the sidecar has not received is sealed, so that this attempt never runs there.
     """
 
     request_id: str
--- a/programs/oleanderdeal/oleanderdeal/command_line.py
+++ b/programs/oleanderdeal/oleanderdeal/command_line.py
@@ -29,7 +29,7 @@
 
 
 class _UncheckedParser(flags.ArgumentParser[str]):
-    """Accepts any text, because absl stops at the first bad value but all must be reported."""
+    """Accepts any text: absl would stop at the first bad value, but all must be reported."""
 
     syntactic_help = ""
 
@@ -88,8 +88,8 @@
     """
     Parse the flags and return the arguments that remain.
 
-    absl stops at the first malformed argument, so it is reported and the others are parsed again
-    without it.
+    absl stops at the first malformed argument, so that argument is reported and the others are
+    parsed again without it.
     """
     while True:
         values = _define_flags(settings)
--- a/programs/oleanderdeal/oleanderdeal/commands/audit.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/audit.py
@@ -43,7 +43,7 @@
 
 
 class _AuditTrail:
-    """Newest `_MAX_ROWS` records of the configuration; older ones are dropped and counted."""
+    """Keeps the newest `_MAX_ROWS` configuration records; drops and counts older ones."""
 
     def __init__(self, customer: str) -> None:
         self._customer = customer
@@ -96,7 +96,7 @@
     def _describe_contract(
         self, record: records.ContractRecord, verdict: in_force.Verdict | None
     ) -> str:
-        """Describe the differences to the last accepted contract, if an earlier one was seen."""
+        """Describe the differences from the customer's last accepted contract, if one was read."""
         before = self._terms.get(record.customer)
         if verdict is not None and verdict.decision is in_force.Decision.ACCEPTED:
             self._terms[record.customer] = record.contract
@@ -122,7 +122,7 @@
 
 
 def _print_orders(context: operator_context.OperatorContext, log: retrying_log.RetryingLog) -> int:
-    """Print the orders to engines, oldest first; a stream without any records reads as empty."""
+    """Print the orders to engines, oldest first; a stream without any records is no error."""
     rows: collections.deque[output.Row] = collections.deque(maxlen=_MAX_ROWS)
     offset = 0
     while True:
@@ -150,7 +150,7 @@
 
 
 def _format_time(milliseconds: int) -> str:
-    """Format a log timestamp in UTC for display; one out of range is shown as its number of ms."""
+    """Format Unix milliseconds as UTC for display; a number out of range is shown as it is."""
     try:
         moment = datetime.datetime.fromtimestamp(milliseconds / 1000, datetime.UTC)
     except (ValueError, OverflowError, OSError):
--- a/programs/oleanderdeal/oleanderdeal/commands/propagation.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/propagation.py
@@ -1,4 +1,4 @@
-"""Check of which entries have applied a configuration record."""
+"""Asks the entries whether they have applied a configuration record."""
 
 import expression
 
--- a/programs/oleanderdeal/oleanderdeal/commands/publisher.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/publisher.py
@@ -11,8 +11,8 @@
     """
     Publishes one contract.
 
-    A lost answer leaves open whether the append took effect, so only the records in the stream
-    count. The record is identified by its nonce, even if it was appended twice or late.
+    If the answer to an append is lost, only the records in the stream show whether the append took
+    effect. The record is identified by its nonce, even if it was appended twice or late.
     """
 
     def __init__(self, log: retrying_log.RetryingLog) -> None:
@@ -24,7 +24,7 @@
     def read_current(
         self, customer: str
     ) -> expression.Result[in_force.ContractInForce | None, str]:
-        """Return the customer's contract in force, or why the log can't tell."""
+        """Return the customer's contract in force, or why it can't be read from the log."""
         problem = self._reader.find_problem()
         if problem:
             return expression.Error(problem)
@@ -63,7 +63,7 @@
             self._log.wait()
 
     def _read_verdict(self) -> in_force.Verdict | None:
-        """Read new records, and return the verdict on the first copy of the own one, if any."""
+        """Read new records; return the verdict on the first copy of the published one, if any."""
         self._reader.read_to_end()
         if self._own_offset is None:
             return None
--- a/programs/oleanderdeal/oleanderdeal/commands/report.py
+++ b/programs/oleanderdeal/oleanderdeal/commands/report.py
@@ -76,7 +76,7 @@
 
 
 class _Report:
-    """The rows of the tables: counts beside what was promised."""
+    """Creates the rows of the report's tables: counts beside the terms of the contracts."""
 
     def __init__(
         self, counts: service_counts.ServiceCounts, contracts: _Contracts, wanted: str
@@ -103,7 +103,8 @@
         """
         Return a row for each customer.
 
-        Its service is the percentage of requests answered in time, weighted by their worth.
+        The service of a customer is the percentage of its requests that were answered in time,
+        each weighted by the worth of its operation.
         """
         keys = [*self._operations, *self._trainers]
         customers = sorted({customer for customer, _ in keys} | set(self._contracts))
--- a/programs/oleanderdeal/oleanderdeal/http_server.py
+++ b/programs/oleanderdeal/oleanderdeal/http_server.py
@@ -35,12 +35,12 @@
     """
     Answers a request, and closes its connection if the server is leaving.
 
-    Otherwise a client with a keep-alive connection would send its next request to a process that
-    has ended.
+    A server is leaving while its process shuts down. A client whose keep-alive connection stayed
+    open would send its next request to a process that has ended.
     """
 
     def build_response_header(self) -> bytes:
-        """Return the status line and headers, with `Connection: close` if leaving."""
+        """Return status line and headers, with `Connection: close` if the server is leaving."""
         if self.channel.server.is_leaving():
             self.set_close_on_finish()
         return bytes(super().build_response_header())
@@ -125,7 +125,7 @@
 
     def close_idle(self) -> None:
         """
-        Stop listening, and close connections without a received request or unsent bytes.
+        Stop listening; close connections with neither a received request nor unsent bytes.
 
         Clients keep using keep-alive connections until they are closed. Checking from another
         thread whether a request is in progress would race with the thread that reads requests,
--- a/programs/oleanderdeal/oleanderdeal/setting_table.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_table.py
@@ -19,7 +19,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Format of a setting's text; the value describes it in help texts."""
+    """Format of a setting's text; a member's value describes the format in help texts."""
 
     INTEGER = "whole number"
     TEXT = "text"
--- a/programs/oleanderdeal/oleanderdeal/setting_values.py
+++ b/programs/oleanderdeal/oleanderdeal/setting_values.py
@@ -29,7 +29,7 @@
 
 
 def read_value(setting: setting_table.Setting, text: str) -> ValueResult:
-    """Return the value of a text, or an error message that continues the setting's name."""
+    """Return the value of a setting's text, or an error message to put after its name."""
     if text or setting.default != "" or setting.kind in _LIST_KINDS:
         return _READERS[setting.kind](setting, text)
     return expression.Ok("")
