--- a/libs/base/oleander_base/log.py
+++ b/libs/base/oleander_base/log.py
@@ -22,7 +22,7 @@
 
 
 class _RepeatLimiter:
-    """Admits each event at most once in ten seconds; tracks 1000 events, then evicts the oldest."""
+    """Admits each event at most once in ten seconds; tracks 1000 events, evicting the oldest."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
