--- a/libs/contracts/oleander_contracts/in_force.py
+++ b/libs/contracts/oleander_contracts/in_force.py
@@ -16,6 +16,7 @@
 
     ACCEPTED = "accepted"
     VOID = "void"
+    """The record is invalid or conflicts with the configuration, so it has no effect."""
     IGNORED = "ignored"
     """The record is of a kind that has no effect, or can't be evaluated yet."""
 
--- a/libs/wire/oleander_wire/messages.py
+++ b/libs/wire/oleander_wire/messages.py
@@ -64,7 +64,9 @@
     version: int | None
     """The weight version in use; None for a plain service or an engine out of rotation."""
     in_rotation: bool
+    """False for an engine that has no weight version in use and must get no new requests."""
     leaving: bool
+    """Whether the sidecar is shutting down and refuses new requests."""
     configuration_offset: int
     ticket_epoch: int
     """The epoch to put into new tickets for this sidecar; it shows a ticket's age later."""
