--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -8,8 +8,8 @@
 """A batch is taken over when its runner has written no record for this time. It exceeds the
 interval between two records of a runner, see `batch_runner`."""
 _ANNOUNCE_AFTER_SECONDS = 0.5
-"""A runner announces a batch again only when its last record is older than this. The next call
-then still comes before another process takes the batch over."""
+"""A runner announces a batch again only when its last record is older than this. It is short
+enough that the announcement is in the index before another process would take the batch over."""
 _ORPHAN_TIMEOUT_SECONDS = 0.6
 """A batch that no process has announced for this time is run by the process that accepted it. The
 owner of its partition announces it sooner if it is alive."""
@@ -25,11 +25,12 @@
     Partitions are reassigned whenever a process joins: revoked from one owner, and assigned to the
     next a second later. A batch that moved with its partition lost the texts in flight, was run by
     no process for that second, and made its trainer late with the next step. So the runner of a
-    batch continues, and announces this in the index. The new owner of the partition takes the
-    batch when the runner hands it over or writes no more records, and the runner stops when it
-    reads of that. Two processes may run one batch for a moment, which costs work and changes no
+    batch, which is the process that runs it, continues after such a move and announces this in the
+    index. The new owner of the partition takes the batch over when the runner hands it over or
+    writes no more records, and the runner stops when it reads in the index that another process
+    runs the batch. Two processes may run one batch for a moment, which costs work and changes no
     result. With one process cut off, 1 of 19 test runs without this rule lost a step and a half
-    to such a move, and none of 16 with it.
+    because a batch moved, and none of 16 with it.
     """
 
     def __init__(
@@ -85,8 +86,9 @@
         Announce in the index that this process runs these batches, unless it did so recently.
 
         A runner that has only long texts in flight writes no other records for seconds. If its
-        partition is reassigned meanwhile, the new owner may read the index first and take the
-        runner for dead; all texts of its batches were then generated twice.
+        partition is reassigned meanwhile, the new owner may read the index before the next record
+        and conclude that the runner is dead. Without announcements, all texts of the runner's
+        batches were then generated twice.
         """
         unannounced = [batch.batch_id for batch in batches if self._needs_announcement(batch)]
         if unannounced:
@@ -102,8 +104,8 @@
 
         The partition's owner may be dead, cut off or still starting, which the platform notices
         only after seconds, while the trainer waits. The process that accepted the batch is alive
-        and reaches the log. It must have read the index up to the timeout, or it could run a batch
-        that the owner has taken.
+        and reaches the log. It must have read the index up to the end of the timeout, or it could
+        run a batch that the owner has taken over.
         """
         if batch.runner or not self._partition_ownership.is_assignment_valid:
             return False
--- a/programs/oleanderdeal/oleanderdeal/batch_run.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_run.py
@@ -21,16 +21,16 @@
 )
 """Stragglers are cancelled and resumed on another engine, never hedged, because the platform
 forbids two engines to run one request at once. Moving an item is cheap, so the search for
-stragglers begins early in a step and is frequent. An attempt without a token may still be queued
-at its engine, hence the delay before it counts. The pause before a failed item is tried again is
-short enough that its step does not give the item up first."""
+stragglers begins early in a step and is frequent. An attempt without a token counts as a straggler
+only after a delay, because it may still be queued at its engine. The pause before a failed item is
+tried again is short enough that the item's step does not give the item up first."""
 _MILLISECONDS = 1000
 _LEAST_URGENT = 5
-"""Urgencies that engines understand range from this to `_MOST_URGENT`."""
+"""Urgency of the items of a new batch. Engines accept urgencies from this to `_MOST_URGENT`."""
 _MOST_URGENT = 1
 _URGENCY_RANGE = 4
-"""Difference between the two urgencies. A batch's items cover it in the time in which the batch is
-due."""
+"""Difference between the least and the most urgent value. The urgency of a batch's items passes
+through this range by the time at which the batch is due."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
     item_number: int
     """Index of the item in the submission, from 0."""
     resumed_events: int
-    """Number of events that earlier attempts produced and this one continues after."""
+    """Number of events that earlier attempts produced, after which this attempt continues."""
     urgency: int
     """From 1, the most urgent, to 5."""
     expected_events: float
@@ -152,7 +152,7 @@
         ]
 
     def restore_partial(self, partial: submission.PartialText) -> None:
-        """Resume an item from a partial text; ignore one of too old weights or a wrong index."""
+        """Resume an item from a partial text; ignore texts of too old weights or a wrong index."""
         if not 0 <= partial.item_number < len(self._submitted.items):
             return
         label = tuple(
@@ -168,7 +168,7 @@
         self._results[item_number] = result
 
     def list_known_texts(self) -> list[item_texts.KnownText]:
-        """Return partial texts and results for reuse by later batches with the same items."""
+        """Return the partial texts and results, for later batches with the same items to reuse."""
         with self._lock:
             found = self._scheduler.list_partials()
         partials = [self._build_partial(number, start) for number, start in found.items()]
@@ -267,7 +267,7 @@
         return self._is_stopped or self._batch.is_ended or item.work.work_id in self._cancelled
 
     def find_last_server(self, item_number: int) -> frozenset[str]:
-        """Return the server of an item's last attempt, as a set that the next excludes."""
+        """Return the server of an item's last attempt, as the set to exclude from its next one."""
         name = self._last_servers.get(item_number)
         return frozenset() if name is None else frozenset((name,))
 
@@ -302,7 +302,7 @@
             self._scheduler.fail(item.work.work_id, clock.read_now())
 
     def requeue(self, item: ItemWork, delay_seconds: float = 0.0) -> None:
-        """Queue an item again, after a delay, whose attempt was refused or never sent."""
+        """Queue an item whose attempt was refused or never sent; it may start after the delay."""
         with self._lock:
             self._clear_attempt(item)
             self._scheduler.requeue_refused(item.work.work_id, clock.read_now() + delay_seconds)
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -18,16 +18,17 @@
 _POLL_SECONDS = 0.05
 """Longest delay before a free slot of an engine is noticed."""
 _LOAD_TIMEOUT_SECONDS = 1.0
-"""Bound on reading a submission, or its partial texts; no item is started meanwhile."""
+"""Bound on reading a submission or its partial texts; the read blocks the start of items."""
 _CHECKPOINT_INTERVAL_SECONDS = 0.8
 """Pause between checkpoints; a killed process loses at most the events of this interval."""
 _MIN_CHECKPOINT_EVENTS = 12
-"""Fewest new events worth a checkpoint, which costs two appends to the log. Generating a shorter
-text again takes less."""
+"""Minimum number of new events for a checkpoint, which costs two appends to the log. Generating
+fewer events again costs less than that."""
 _HAND_OVER_RETRY_SECONDS = 0.1
 """Pause between attempts to hand batches over while the log does not answer."""
 _WINDOWS_FULL_RETRY_SECONDS = 0.05
-"""Delay before an item is tried again when the router's windows of all its servers are full."""
+"""Delay before an item is tried again when all its servers' request windows are full, that is when
+as many requests are in flight at each server as the router allows."""
 _MAX_QUARANTINE_DEFER_SECONDS = 5.0
 """Longest deferral of a quarantined item. A quarantine may end early, when the same request is
 answered through another process."""
@@ -91,7 +92,8 @@
 
         Waiting for long texts could exceed the time that a shutdown may take, and texts generated
         anew by another process would be late, so partial texts are handed over. While the log
-        does not answer no other process can resume them, and they run on here until it does.
+        does not answer, no other process can resume the texts, so this process continues to
+        generate them until it does.
         """
         self._is_draining = True
         self._checkpoints.hand_over(dict(self._runs))
@@ -259,10 +261,10 @@
         """
         Return the server for an item's next attempt: not the last one, if there is another.
 
-        Return `None` while the windows of all others are full, because an item that was cancelled
-        at a server would gain nothing by returning there. An item that is suspected of crashing
-        servers avoids those that run another suspect, so that the one at fault does not end the
-        attempts of others.
+        Return `None` while the request windows of all other servers are full, because an item that
+        was cancelled at a server would gain nothing by returning there. An item that is suspected
+        of crashing servers avoids those that run another suspect, so that the one at fault does
+        not end the attempts of others.
         """
         excluded = run.find_last_server(item.item_number)
         if self._guard is not None and self._guard.is_suspect(item.call):
--- a/programs/oleanderdeal/oleanderdeal/checkpoints.py
+++ b/programs/oleanderdeal/oleanderdeal/checkpoints.py
@@ -7,7 +7,7 @@
 from oleanderdeal import batch_ownership, batch_run
 
 _STOP_TIMEOUT_SECONDS = 0.2
-"""Wait for the streams of a stopped run to end; only a server that hangs takes longer."""
+"""Longest wait for the streams of a stopped run to end; only a server that hangs exceeds it."""
 
 
 class BatchCheckpoints:
@@ -51,9 +51,10 @@
         """
         Stop a run once the log accepts its partial texts; return whether all are saved.
 
-        They are saved twice: while the run goes on, to find out whether the log answers, and
-        after its streams have ended, with the text generated since. A run without partial texts
-        is not stopped here; the record that hands its batch over shows whether the log answers.
+        The texts are saved twice: first while the run continues, to find out whether the log
+        answers, and again after its streams have ended, with the text generated since. A run
+        without partial texts is not stopped here; the record that hands its batch over shows
+        whether the log answers.
         """
         if run.is_stopped or not run.list_grown_partials(1):
             return True
--- a/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/claim_dispatch.py
@@ -1,10 +1,11 @@
 """
 Runs non-repeatable requests at most once, by claims in the log.
 
-For each attempt the first claim in the log decides which sidecar incarnation may run the key. Only
-the entry that wrote this claim sends the request there, once. Other entries, and this entry after
-it lost the link, only ask that sidecar for the outcome. Asking seals a key that has not arrived,
-so that it can no longer start there.
+A claim is a record in which an entry names the sidecar incarnation for one attempt to run a key's
+request. For each attempt the first claim in the log decides which sidecar incarnation may run the
+key. Only the entry that wrote this claim sends the request there, once. Other entries, and this
+entry after it lost the link, only ask that sidecar for the outcome. Asking seals a key that has
+not arrived, so that it can no longer start there.
 """
 
 import dataclasses
@@ -20,7 +21,7 @@
 from oleanderdeal import callers, calls, key_inquiry, once_messages, peer_link, peers
 
 _MAX_ATTEMPTS = 4
-"""Attempts that one call of `run` makes or follows; each needs a claim in the log."""
+"""Maximum number of attempts that one call of `run` makes or follows, each by its own claim."""
 _REDIAL_POLL_SECONDS = 0.1
 """Longest wait for a link to open before the sidecar is dialled again."""
 _CLAIMANT_GRACE_SECONDS = 0.3
@@ -118,8 +119,9 @@
         """
         Return the claim to follow, or write a claim for the next attempt.
 
-        Evidence is valid for one attempt only. If another entry has claimed a later attempt
-        meanwhile, that attempt may be running, so it is followed and no further one is claimed.
+        The proof that an attempt never ran is valid for that attempt only. If another entry has
+        claimed a later attempt meanwhile, that attempt may be running, so it is followed and no
+        further one is claimed.
         """
         known = self._claims.find(request.customer, request.key)
         not_run_attempt = last_not_run.attempt if last_not_run is not None else 0
--- a/programs/oleanderdeal/oleanderdeal/dispatch.py
+++ b/programs/oleanderdeal/oleanderdeal/dispatch.py
@@ -16,7 +16,7 @@
 _POLL_SECONDS = 0.1
 """Interval at which a waiting call checks whether its caller has gone."""
 _MAX_ATTEMPTS = 4
-"""Includes the first attempt; refusals by sidecars that are leaving do not count."""
+"""Attempts for one job, including the first; refusals by sidecars that are leaving don't count."""
 _CANCELLED = "cancelled"
 _TOO_LATE = "too-late"
 
@@ -48,7 +48,7 @@
 
 
 class JobObserver:
-    """Receives a job's tokens as they are generated, and tells when it is no longer wanted."""
+    """Receives a job's tokens as they are generated; reports when no one waits for the job."""
 
     def on_peer_chosen(self, name: str) -> None:
         """Receive the name of the sidecar that the next attempt is sent to."""
@@ -190,7 +190,7 @@
 def _stream_call(
     call: calls.Call, deadline: clock.Deadline, observer: JobObserver
 ) -> collections.abc.Generator[messages.Tokens, None, messages.Answer | None]:
-    """Yield tokens until the answer; return `None` if the deadline passes or the caller goes."""
+    """Yield tokens, then return the answer; `None` at the deadline or if the caller has gone."""
     while not deadline.is_past and not observer.is_gone():
         event = call.wait(deadline.cap(_POLL_SECONDS))
         match event:
@@ -205,7 +205,7 @@
 
 
 def _build_unfinished(deadline: clock.Deadline) -> messages.Answer:
-    """Return the answer for a call that was given up at its deadline or as its caller went."""
+    """Return the answer for a call that ended at its deadline or because its caller has gone."""
     return _build_unknown(_TOO_LATE if deadline.is_past else _CANCELLED)
 
 
--- a/programs/oleanderdeal/oleanderdeal/item_task.py
+++ b/programs/oleanderdeal/oleanderdeal/item_task.py
@@ -205,7 +205,11 @@
             self._on_dequeued()
 
     def compute_rating(self, seconds: float) -> tuple[router.RouteOutcome, float]:
-        """Return the outcome for the router, and milliseconds per event, or in all without one."""
+        """
+        Return the outcome for the router, and a duration in milliseconds.
+
+        It is the time per event, or the whole time if the item was refused or sent no event.
+        """
         milliseconds = seconds * 1000
         if self.was_refused:
             return router.RouteOutcome.REFUSED, milliseconds
--- a/programs/oleanderdeal/oleanderdeal/item_texts.py
+++ b/programs/oleanderdeal/oleanderdeal/item_texts.py
@@ -6,7 +6,7 @@
 from oleander_batches import submission
 
 _MAX_TEXTS = 256
-"""Above this the oldest text is evicted; its item would be generated from the start."""
+"""Above this number the oldest text is evicted, and a later batch generates its item anew."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -24,8 +24,9 @@
     """
     Maps items to their texts; thread-safe and bounded.
 
-    A trainer that goes on without a slow group submits the group again with its next step, and
-    waits for it first. Generated from the start, the longest texts would be late again.
+    A trainer that continues without the results of a slow group submits the group again with its
+    next step, and waits for this group first. If the group's longest texts were then generated
+    from the start, they would be late again.
     """
 
     def __init__(self) -> None:
--- a/programs/oleanderdeal/oleanderdeal/key_ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -166,7 +166,7 @@
         return entry.state is KeyState.SEALED and run.attempt > entry.attempt
 
     def _may_seal(self, join: messages.Join, entry: _KeyEntry | None) -> bool:
-        """Return whether an attempt is sealed: the key is new, or sealed at a lower attempt."""
+        """Return whether to seal an attempt: the key is new, or sealed at a lower attempt."""
         if entry is None:
             return not self._may_be_evicted(join)
         return entry.state is KeyState.SEALED and join.attempt > entry.attempt
@@ -233,7 +233,7 @@
             self._record_evicted(self._entries.pop(key_id))
 
     def _record_evicted(self, entry: _KeyEntry) -> None:
-        """Record an entry's claims as evicted; new tickets get an epoch above evicted ones."""
+        """Record a key's claims as evicted; new tickets get an epoch above those evicted."""
         for place in entry.positions:
             newest = self._evicted_offsets.get(place.shard, -1)
             self._evicted_offsets[place.shard] = max(newest, place.offset)
--- a/programs/oleanderdeal/oleanderdeal/result_writer.py
+++ b/programs/oleanderdeal/oleanderdeal/result_writer.py
@@ -7,15 +7,15 @@
 from oleander_batches import journal, submission
 
 _MAX_RESULTS_PER_APPEND = 64
-"""The log bounds the size of an append."""
+"""Keeps an append within the size that the log accepts."""
 _RETRY_SECONDS = 0.05
 """Pause before a failed append is tried again. It is short, as results that are not written are
 lost if the process ends."""
 _WAIT_SECONDS = 0.2
 """Longest wait for a result before the group is checked for a stop."""
 _MAX_WAITING_RESULTS = 4096
-"""Above this no item is started: the log takes no results, and further ones would only use
-memory."""
+"""At this number of unwritten results no item is started: the log accepts no results then, and
+further ones would only use memory."""
 
 
 class ResultWriter:
@@ -74,7 +74,7 @@
             return taken
 
     def _append_results(self, results: list[tuple[str, int, submission.ItemResult]]) -> bool:
-        """Append results of one batch, unless known; return whether none must be retried."""
+        """Append the results of one batch that the index lacks; return False to retry them."""
         batch_id = results[0][0]
         batch = self._journal.index.find(batch_id)
         if batch is None:
--- a/programs/oleanderdeal/oleanderdeal/weights.py
+++ b/programs/oleanderdeal/oleanderdeal/weights.py
@@ -191,9 +191,9 @@
         Return when to send the next order.
 
         Loads are spread at random over time, except for an engine without weights: it serves
-        nothing, so it only waits for the backoff. The drawn slot is kept until the engine has
-        caught up. If it were drawn again for each version, an engine whose versions arrive faster
-        than its slots would never load any.
+        nothing, so it only waits for the backoff. The random start time is kept until the engine
+        has caught up. If a new time were drawn for each version, an engine whose versions arrive
+        at shorter intervals than these delays would never load any.
         """
         if confirmed is None:
             return self._order_after
