--- a/programs/oleanderdeal/oleanderdeal/batch_api.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_api.py
@@ -10,11 +10,11 @@
 from oleander_batches import batch_table, content, journal, submission
 
 _READ_TIMEOUT_SECONDS = 1.0
-"""Bound on reading the log for one call. Trainers wait a little longer than the time that they
-send, so an answer at the end of this bound still reaches them."""
+"""Bound on reading the log for one call. Trainers wait a little longer than the wait that
+they request, so an answer at the end of this bound still reaches them."""
 _ACCEPT_TIMEOUT_SECONDS = 2.0
 """Bound on accepting a batch: one append to the content topic and one to the index topic, each
-of which has half of it."""
+of which may take half of this time."""
 _END_TIMEOUT_SECONDS = 2.0
 """Bound on ending a batch; shorter than the client's own timeout, so that it can still try another
 entry."""
@@ -22,7 +22,7 @@
 """Maximum age of the index at which an entry may answer "no further result". It lies below the
 bound within which every entry must know of a result that one entry has returned."""
 _RETRY_AFTER_MS = 200
-"""Short, because a refusal concerns one entry only and the client's next try goes to another."""
+"""This delay is short, as a refusal concerns one entry and the next try goes to another."""
 
 
 class BatchFault(enum.Enum):
--- a/programs/oleanderdeal/oleanderdeal/budgets.py
+++ b/programs/oleanderdeal/oleanderdeal/budgets.py
@@ -14,7 +14,8 @@
 
     Without the reserve, answers of work that finished just in time arrived too late, and refusals
     of work that expired in a queue arrived after the entry had given up, so that callers were told
-    "unknown" about requests that never ran. Too small a reserve makes this rarer only.
+    "unknown" about requests that never ran. A reserve that is too small makes these cases
+    rarer but does not prevent them.
     """
     remaining_ms = deadline.remaining_ms
     return remaining_ms - min(_MAX_RETURN_MS, remaining_ms // _RETURN_DIVISOR)
--- a/programs/oleanderdeal/oleanderdeal/callers.py
+++ b/programs/oleanderdeal/oleanderdeal/callers.py
@@ -69,7 +69,11 @@
 
 
 def build_unknown(reason: str, retry_after_ms: int = 0) -> CallerAnswer:
-    """Return the answer that the request may have run; a retry after the delay may find out."""
+    """
+    Return the answer that the request may have run.
+
+    A retry after the delay may learn the outcome.
+    """
     return CallerAnswer(messages.Outcome.UNKNOWN, STATUS_UNKNOWN, reason, retry_after_ms, b"")
 
 
--- a/programs/oleanderdeal/oleanderdeal/calls.py
+++ b/programs/oleanderdeal/oleanderdeal/calls.py
@@ -8,7 +8,7 @@
 from oleander_wire import messages
 
 _MAX_QUEUED_EVENTS = 4096
-"""For each call; beyond it the call ends as if its link was lost."""
+"""Bound on the events that one call queues; above it the call ends as if its link was lost."""
 _POLL_SECONDS = 0.1
 """Longest time before a wait notices that the event queue has overflowed."""
 
--- a/programs/oleanderdeal/oleanderdeal/configuration_sync.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration_sync.py
@@ -18,8 +18,9 @@
         """
         Send records that a peer lacks, or request those that this process lacks.
 
-        `peer_offset` comes from the peer's heartbeat. Changes are not pushed without one: a
-        sidecar would then receive each change from every entry, where one entry is enough.
+        `peer_offset` comes from the peer's heartbeat. Changes are sent only in answer to
+        an offset. If entries pushed them, a sidecar would receive each change from every entry,
+        where one entry is enough.
         """
         self._follower.record_peer_offset(peer_offset)
         own = self._follower.configuration.applied_offset
--- a/programs/oleanderdeal/oleanderdeal/direct_entry.py
+++ b/programs/oleanderdeal/oleanderdeal/direct_entry.py
@@ -41,7 +41,7 @@
 """Servers per backend to which an entry prefers to send calls: more than the attempts of one
 call, and enough that the subsets chosen by many entries balance the load."""
 _OTHER_TASKS = 20
-"""Tasks besides items and partitions: followers, HTTP servers, writers, runner and spares."""
+"""Tasks besides items and partitions: followers, HTTP servers, writers, runner and a reserve."""
 _MAX_SILENCE_SECONDS = 2.5
 """An entry that received no server records for longer is not ready; other entries may be."""
 _CONFIGURATION_PAUSE_SECONDS = 0.05
@@ -53,7 +53,7 @@
 _DEREGISTRATION_SECONDS = 2.5
 """Clients may connect for this long after readiness fails: two checks and a margin."""
 _STOP_MARGIN_SECONDS = 1.5
-"""Time by which a stop finishes ahead of the platform's grace period."""
+"""A graceful stop ends this long before the end of the platform's grace period."""
 _JOIN_SECONDS = 0.5
 """Wait at exit for tasks that are blocked in a call; then the process exits without them."""
 _RELOAD_INTERVAL_SECONDS = 1.0
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -81,7 +81,7 @@
         Refuse all waiting requests as not run, so that entries send them to other sidecars.
 
         They could still be run here, but the backend server would get new work after it was told
-        to leave, for some of them long after.
+        to leave, some of it long after.
         """
         self._queue.drop_waiting()
         self._answer_dropped()
--- a/programs/oleanderdeal/oleanderdeal/hosts.py
+++ b/programs/oleanderdeal/oleanderdeal/hosts.py
@@ -14,7 +14,8 @@
     Keeps links to a bounded subset of the listed hosts; the list lags, so it is only a hint.
 
     While the list can't be read, the links of the last list are kept. An empty list is treated
-    as unreadable: accepting it gains nothing, and if the list is at fault, would refuse all work.
+    as unreadable: accepting an empty list gains nothing, and if the list is wrong, it would make
+    the entry refuse all work.
     """
 
     def __init__(
--- a/programs/oleanderdeal/oleanderdeal/lost_answers.py
+++ b/programs/oleanderdeal/oleanderdeal/lost_answers.py
@@ -4,17 +4,17 @@
 import threading
 
 _MAX_KEYS = 1000
-"""Above this the oldest key is evicted."""
+"""Above this number of keys the oldest is evicted."""
 _REDIAL_SECONDS = 5.0
-"""Within this time an entry that lost its link has reconnected and asked for the answer again."""
+"""An entry that lost its link reconnects and asks for the answer again within this time."""
 
 
 class LostAnswers:
     """
     Keys whose answers could not be sent and may be asked for again; thread-safe.
 
-    Only the shutdown of a sidecar reads this: without
-    the wait, callers would get "unknown" although the sidecar has their answers.
+    Only the shutdown of a sidecar reads this, and waits while an entry may still ask: without the
+    wait, callers would get "unknown" although the sidecar has their answers.
     """
 
     def __init__(self) -> None:
--- a/programs/oleanderdeal/oleanderdeal/peer_link.py
+++ b/programs/oleanderdeal/oleanderdeal/peer_link.py
@@ -104,7 +104,7 @@
 
     @property
     def is_connection_refused(self) -> bool:
-        """Whether the last dial was refused: that incarnation of the sidecar has ended."""
+        """Whether the last dial was refused, as that incarnation of the sidecar has ended."""
         return self._is_connection_refused
 
     def keep_open(self) -> None:
@@ -210,7 +210,7 @@
 
     def _receive_all(self, opened: link.Link) -> bool:
         """
-        Receive until the link breaks or falls silent; return whether the sidecar said goodbye.
+        Receive until the link breaks or is silent too long; return whether a goodbye arrived.
 
         A paused sidecar keeps its connection open. Without a bound on silence its calls would
         wait for their whole deadline instead of being sent elsewhere. If this entry itself was
--- a/programs/oleanderdeal/oleanderdeal/route_lookup.py
+++ b/programs/oleanderdeal/oleanderdeal/route_lookup.py
@@ -9,7 +9,7 @@
 from oleander_direct import directory, organisations, routes
 
 _RETRY_AFTER_MS = 200
-"""Short, because another entry may already know the newest configuration."""
+"""This delay is short, because another entry may already know the newest configuration."""
 _NO_CONFIGURATION_REASON = "no configuration yet"
 _STALE_REASON = "the newest configuration may be unknown here"
 _MAX_LOGGED_CHARACTERS = 120
--- a/programs/oleanderdeal/oleanderdeal/runners.py
+++ b/programs/oleanderdeal/oleanderdeal/runners.py
@@ -11,7 +11,7 @@
 REASON_LABEL_UNKNOWN = "label-unknown"
 REASON_OUT_OF_ROTATION = "out-of-rotation"
 _LATE_ANSWER_SECONDS = 10.0
-"""Time past the caller's deadline for which a non-repeatable call is still waited for."""
+"""How long a non-repeatable call may continue after its caller's deadline."""
 
 
 class Runner(abc.ABC):
@@ -95,8 +95,8 @@
         """
         Forward tokens to the entry as the engine produces them.
 
-        `before` must be read before the engine is called: read after its answer begins, it could
-        be the state after a weight load that the first tokens precede.
+        `before` must be read before the engine is called. If it were read after the answer begins,
+        it could be the state after a weight load, although the first tokens precede the load.
 
         An engine that states versions for only part of a stream had incompletely loaded weights
         during the other part. Skipping that part would leave a gap in the text, so the stream is
--- a/programs/oleanderdeal/oleanderdeal/sampling.py
+++ b/programs/oleanderdeal/oleanderdeal/sampling.py
@@ -1,4 +1,8 @@
-"""Generates the samples of registered steps: one task takes work, and each sample has its own."""
+"""
+Generates the samples of registered steps.
+
+One task takes samples from the steps and starts a separate task for each of them.
+"""
 
 import dataclasses
 import threading
@@ -22,9 +26,9 @@
     """
     Remembers the sidecar that each sample was last sent to; bounded, evicts the oldest record.
 
-    It serves to exclude that sidecar from the sample's next attempt: a sample that is moved away
-    from a slow engine, or hedged against it, gains nothing by going there again, but the low load
-    of an engine that lost its work for being slow would attract it.
+    That sidecar is excluded from the sample's next attempt. A sample that is moved away from a
+    slow engine, or hedged against it, gains nothing by running there again. Without the exclusion
+    it could be sent there, because an engine that lost its work for being slow has a low load.
     """
 
     def __init__(self) -> None:
--- a/programs/oleanderdeal/oleanderdeal/sidecar.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar.py
@@ -155,8 +155,8 @@
         Refuse new and queued requests, and finish running ones; return whether all have ended.
 
         The queue is closed before the entries are told that this sidecar is leaving, so an entry
-        that knows can rely on new requests being refused. A load order in progress is also
-        awaited, so that the next sidecar does not meet one whose outcome nobody recorded.
+        that knows it is leaving can rely on new requests being refused. A load order in progress
+        is also awaited, so that the next sidecar finds no order without a recorded outcome.
         """
         log.logger.bind(event="draining").info("draining running requests")
         self._queue.close()
--- a/programs/oleanderdeal/oleanderdeal/sidecar_links.py
+++ b/programs/oleanderdeal/oleanderdeal/sidecar_links.py
@@ -192,8 +192,8 @@
         """
         Refuse a request; if it must not be repeated, also seal its key.
 
-        The same ticket may arrive over another link that has capacity. Without the seal it would
-        start there after this entry has sent the request elsewhere.
+        The same ticket may arrive over another link that has capacity. Without the seal the
+        request would start there after the refused entry has sent it to another sidecar.
         """
         refusal = _refuse("too-many-requests-on-link")
         if run.repeatable:
--- a/programs/oleanderdeal/oleanderdeal/snapshots.py
+++ b/programs/oleanderdeal/oleanderdeal/snapshots.py
@@ -1,5 +1,5 @@
 """
-Appends snapshots of the configuration to its stream, so that it outlives the log's retention.
+Appends snapshots of the configuration to its stream, to keep it beyond the log's retention.
 
 The log deletes old records. After it has deleted the record of a contract, a process that starts
 later could not learn of that contract. A snapshot holds the whole configuration. All processes
--- a/programs/oleanderdeal/oleanderdeal/tickets.py
+++ b/programs/oleanderdeal/oleanderdeal/tickets.py
@@ -38,7 +38,7 @@
     """Reason for which a key with the prefix of a ticket is invalid."""
 
     UNREADABLE = "ticket-unreadable"
-    """It was not issued for this customer and operation, or the process token has changed
+    """The ticket was not issued for this customer and operation, or the process token has changed
     since."""
 
 
--- a/programs/oleanderdeal/oleanderdeal/trainer_incarnations.py
+++ b/programs/oleanderdeal/oleanderdeal/trainer_incarnations.py
@@ -3,8 +3,8 @@
 
 Once an entry has read the record, it refuses older incarnations of the trainer as "superseded",
 for instance one that was paused or did not notice its replacement. Exactly-once delivery does not
-depend on this, but on each incarnation's own list of the samples it holds; the refusal saves work
-for an incarnation that is gone.
+depend on this, but on each incarnation's own list of the samples it holds; the refusal avoids
+work for an incarnation that has been replaced.
 """
 
 import queue
@@ -23,7 +23,7 @@
 
 class TrainerIncarnations:
     """
-    Appends new incarnations to the log, and passes those read from it to the step registry.
+    Appends new incarnations to the log, and passes those in the log to the step registry.
 
     The queue is bounded; if it is full, a new record is dropped, and queued again when the
     trainer registers its next step.
--- a/programs/oleanderdeal/oleanderdeal/usage_reporter.py
+++ b/programs/oleanderdeal/oleanderdeal/usage_reporter.py
@@ -1,4 +1,10 @@
-"""Collects the usage counts of all entries in the log; one entry reports them to the platform."""
+"""
+Collects the usage counts of all entries in the log; one entry reports them to the platform.
+
+Time is divided into windows of equal length, and each report holds the counts of one window. The
+duty of reporting belongs to the process that owns the partition `_PARTITION`. Only the holder of a
+lease may report, because two processes may act as owners of a partition for a while.
+"""
 
 import dataclasses
 import threading
@@ -27,7 +33,7 @@
 """Shortest remaining lease with which a call is started. A later call could reach the platform
 when a successor may already report."""
 _TAKEOVER_MARGIN_SECONDS = 1.0
-"""Time for a successor's reads and calls, added to the time that taking over the lease needs."""
+"""Time for a successor's reads and calls, in addition to the time to take over the lease."""
 _MIN_WAIT_SECONDS = 1.0
 """Shortest time from the end of a window to its report. Processes append the counts of the window
 within this time."""
@@ -82,8 +88,8 @@
         self._fold = usage_totals.UsageTotals()
         self._next_offset = 0
         self._decide_not_before = 0.0
-        """Until then no report is appended after a failed read, as processes may append counts
-        late."""
+        """Until this time no report is appended. A failed read sets it, because counts of other
+        processes may then be appended late."""
         self._next_window: int | None = None
         """The next window to report; `None` while the lease is not held."""
 
@@ -121,9 +127,9 @@
         """
         Claim or renew the lease if this process should hold it; return the seconds to wait.
 
-        After an outage of the log the last holder also claims the lease, whoever owns the duty. It
-        may claim at once, while another process must wait for the term and the gap, which would
-        make windows late.
+        After an outage of the log the last holder also claims the lease, even if another
+        process owns the duty. It may claim at once, while another process must wait for the term
+        of the lease and the required gap between holders, which would make reports late.
         """
         pause = 0.0
         if self._ownership.owns(_PARTITION) or self._lease.was_last_holder:
@@ -194,7 +200,7 @@
         return counts is not None and self._send(platform.UsageReport(window, counts))
 
     def _append_report(self, window: int) -> bool:
-        """Append a window's report and read the log, as another process's may precede it."""
+        """Append a window's report and read the log, where another process's may precede it."""
         if clock.read_now() < self._decide_not_before:
             return False
         counts = self._fold.sum_window(window)
@@ -204,7 +210,7 @@
         """
         Send a report; return whether the platform has received it or has rejected it for good.
 
-        The lease is checked right before the call, and the call's deadline is before its end.
+        The lease is checked right before the call, and the call times out before the lease ends.
         """
         tenure = self._find_tenure()
         if tenure is None:
@@ -224,7 +230,7 @@
         return not isinstance(outcome, platform.DutyUnknown)
 
     def _find_tenure(self) -> lease.Tenure | None:
-        """Return the lease's tenure, or `None` if too little of it is left for a call."""
+        """Return the current tenure of the lease, or `None` if too little is left for a call."""
         tenure = self._lease.find_tenure()
         if tenure is None or tenure.deadline.remaining < _MIN_TENURE_SECONDS:
             return None
--- a/programs/oleanderdeal/oleanderdeal/version_reconciler.py
+++ b/programs/oleanderdeal/oleanderdeal/version_reconciler.py
@@ -1,4 +1,9 @@
-"""Orders backend servers to load the weight versions that trainers announced."""
+"""
+Orders backend servers to load the weight versions that trainers announced.
+
+The servers of a backend load in waves: a wave is the group of servers that load at the same time
+while the others serve requests.
+"""
 
 import expression
 
@@ -16,7 +21,7 @@
 _NEIGHBOR_TIMEOUT_SECONDS = 0.2
 """Timeout for asking whether another server is loading; a dead one must not delay the order."""
 _MIN_TENURE_SECONDS = 1.0
-"""With less of its lease left, a process sends no order: it could arrive after a successor's."""
+"""With less of its lease left, a process sends no order: the order could follow a successor's."""
 _PAUSE_SECONDS = 0.1
 """Pause between rounds of orders."""
 
@@ -103,7 +108,7 @@
         return tenure
 
     def _check_pending_loads(self) -> None:
-        """Ask servers whether they have loaded; their records would show it a heartbeat later."""
+        """Ask servers whether they have loaded; their records show this only a heartbeat later."""
         for order in self._plan.list_unconfirmed():
             state = self._read_state(order.server)
             if state.is_ok():
@@ -155,8 +160,8 @@
         """
         Return whether too many servers are loading at the moment.
 
-        Servers are only asked if loads may outlast their wave, since each query may open a
-        connection.
+        Servers are only asked if the next wave may start while a load of the last one continues,
+        since each query may open a connection.
         """
         if not self._plan.may_waves_overlap:
             return False
