--- a/programs/oleanderdeal/oleanderdeal/batch_ownership.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_ownership.py
@@ -63,7 +63,7 @@
         )
 
     def must_stop(self, batch: batch_table.Batch) -> bool:
-        """Return whether this process must stop a batch: another has taken it, or may have."""
+        """Return whether this process must stop a batch that another process runs or may run."""
         if not self._partition_ownership.is_assignment_valid:
             return True
         return batch.runner not in (self._name, self._previous_runners.get(batch.batch_id, ""))
--- a/programs/oleanderdeal/oleanderdeal/configuration.py
+++ b/programs/oleanderdeal/oleanderdeal/configuration.py
@@ -83,9 +83,9 @@
         Record a peer's offset; if the log can't be read, count as caught up with the newest peer.
 
         The first peer to report may itself lag, and starting from it could apply a contract that
-        was already replaced. So this waits a while for other peers and until the highest of
-        their offsets is applied. If no peer has any record, all were replaced during the outage.
-        Serving an empty configuration would answer callers as if no contract had ever been
+        was already replaced. So this process waits a while for other peers, and until the highest
+        of their offsets is applied. If no peer has any record, all peers were replaced during the
+        outage. Serving an empty configuration would answer callers as if no contract had ever been
         accepted, so this process then waits for the log.
         """
         self._newest_peer_offset = max(self._newest_peer_offset, offset)
--- a/programs/oleanderdeal/oleanderdeal/executor.py
+++ b/programs/oleanderdeal/oleanderdeal/executor.py
@@ -116,11 +116,12 @@
 
     def _run_unless_abandoned(self, pending: pending_runs.PendingRun) -> messages.Answer:
         """
-        Run a request unless its entry has gone, checked right before the backend is called.
+        Run a request, unless its entry has closed the link before the backend is called.
 
         When a suspended sidecar resumes, it may hold requests whose entry has closed its link and
-        sent them elsewhere. Before this check it started them before the thread that reads the
-        link noticed that it was closed, and generated up to 168 tokens that no one received.
+        sent them elsewhere. Without this check, it started these requests before the thread that
+        reads the link noticed that it was closed, and generated up to 168 tokens that no one
+        received.
         """
         if pending.is_unwanted:
             return _build_not_run("too-late")
--- a/programs/oleanderdeal/oleanderdeal/gates.py
+++ b/programs/oleanderdeal/oleanderdeal/gates.py
@@ -8,8 +8,8 @@
 Limits for single classes are not enough. Their sum exceeded the pool, and requests then waited for
 a thread in the HTTP server's own queue, where deadlines are not checked yet. They were answered
 after their deadline, and not refused while there was time to go to another entry. So all classes
-together leave some threads of the pool free, which are only used to refuse and are released at
-once.
+together leave some threads of the pool free. These threads only refuse requests, and are free
+again at once.
 """
 
 import enum
--- a/programs/oleanderdeal/oleanderdeal/key_ledger.py
+++ b/programs/oleanderdeal/oleanderdeal/key_ledger.py
@@ -21,7 +21,7 @@
 _MAX_LISTENERS_PER_KEY = 16
 """Requests that may wait for the answer of one running key; further ones get "unknown"."""
 _EPOCHS_PER_LEDGER = 16
-"""A new ticket epoch begins after as many tickets as the ledger's keys divided by this."""
+"""A ticket epoch ends after as many tickets as the ledger's maximum of keys divided by this."""
 
 REASON_SEALED = "sealed"
 REASON_OTHER_INCARNATION = "incarnation-gone"
