--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -3,9 +3,10 @@
 
 `python bench/ablation.py BENCH SITE FOLDER [--off hedges,moves] [--days trouble-1,...]`.
 BENCH is the platform's program, SITE a site file, FOLDER a new one outside the temporary folder
-for the clones of this checkout's last commit. Each day and seed is played on every clone. For each
-mechanism, a line gives the mean of the worth with it minus the worth without it, and the standard
-error. Each play writes its journal entry in its clone.
+for the clones of this checkout's last commit. A day, such as trouble-1, is a load that BENCH runs
+("plays") at the site; its worth is the score that BENCH prints. Each day and seed is played on
+every clone. For each mechanism, a line gives the mean of the worth with it minus the worth without
+it, and the standard error. Each play writes its journal entry in its clone.
 """
 
 import argparse
--- a/bench/policy_admission.py
+++ b/bench/policy_admission.py
@@ -14,7 +14,7 @@
 _SHARES = {"a": 50, "b": 30, "c": 20}
 _QUEUE_LENGTH = 200
 _SHORT_QUEUE_LENGTH = 20
-"""A queue length that makes 250 ms of waiting, which is within the shortest deadline."""
+"""A queue of this length takes 250 ms to serve, which is within the shortest deadline."""
 _COST_MS = 50.0
 _CAPACITY = policy_queues.SLOTS / (_COST_MS / 1000)
 """Requests per second that the slots can serve."""
--- a/bench/policy_choosers.py
+++ b/bench/policy_choosers.py
@@ -34,7 +34,7 @@
 
 
 class LeastReported(Chooser):
-    """Chooses the server with the lowest last report; breaks ties at random."""
+    """Chooses the server with the lowest load in its last report; breaks ties at random."""
 
     def __init__(self, source: random.Random) -> None:
         self._source = source
@@ -57,10 +57,10 @@
 
 
 class TwoReported(LeastReported):
-    """Chooses the server with the lower last report of two random ones."""
+    """Chooses, of two random servers, the one with the lower load in its last report."""
 
     def choose(self, prefix: str) -> str:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random servers."""
         return min(self._source.sample(list(self._loads), 2), key=lambda name: self._loads[name])
 
 
@@ -68,7 +68,7 @@
     """Like TwoReported, but adjusts reports by the requests it started and ended since."""
 
     def choose(self, prefix: str) -> str:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random servers."""
         return min(self._source.sample(list(self._loads), 2), key=lambda name: self._loads[name])
 
     def record_started(self, name: str) -> None:
@@ -132,7 +132,7 @@
         self._router.record_started(name)
 
     def record_finished(self, name: str, succeeded: bool, latency_ms: float) -> None:
-        """Pass the outcome to the router, or only that the request ended if it must not judge."""
+        """Pass the outcome to the router; if health checks are disabled, only that it ended."""
         outcome = router.RouteOutcome.OK if succeeded else router.RouteOutcome.FAILED
         if not self._judges:
             outcome = router.RouteOutcome.REFUSED
--- a/bench/policy_queues.py
+++ b/bench/policy_queues.py
@@ -60,7 +60,7 @@
         return self._queues[item.priority].submit(item)
 
     def take(self) -> work.Work | None:
-        """Return the oldest work of the most urgent class with any, or None."""
+        """Return the oldest work of the most urgent class that has work, or None."""
         return next((item for queue in self._queues if (item := queue.take())), None)
 
     def finish(self, item: work.Work, service_ms: float) -> None:
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -9,7 +9,7 @@
 
 _RATE = 80.0
 _SERVICE_SECONDS = 0.01
-"""Service time of the only server, which `_RATE` uses to four fifths of its capacity."""
+"""Service time of the only server; `_RATE` is four fifths of its capacity."""
 _TIMEOUT_SECONDS = 1.0
 _MAX_RETRIES = 3
 _SLOW_FROM = 20.0
--- a/bench/samples_objective.py
+++ b/bench/samples_objective.py
@@ -47,7 +47,7 @@
         self.chosen: simulation.Engine | None = None
 
     def dispatch(self) -> None:
-        """Let the fleet decide which entry starts work."""
+        """Fill the free slots of the shared engines, for both entries."""
         self.fleet.dispatch()
 
     def cancel_unwanted(self) -> None:
@@ -105,7 +105,7 @@
         return self.entries[0].engines
 
     def dispatch(self) -> None:
-        """Fill the free slots in the order that the rule gives."""
+        """Fill the free slots; the rule determines which entry is served first."""
         for entry in self.entries:
             entry.cancel_unwanted()
         if self._rule is Rule.MATCHED:
@@ -117,7 +117,7 @@
                 return
 
     def _match(self) -> None:
-        """Offer slots on current weights to the staleness trainer first, others to the other."""
+        """Offer slots on current weights to the staleness entry first, others to the other."""
         for engine in sorted(self.engines, key=lambda item: len(item.running)):
             first = _STALENESS if engine.version >= self.entries[0].version else _IDLE_TIME
             while self._has_room(engine):
--- a/bench/site_copies.py
+++ b/bench/site_copies.py
@@ -4,8 +4,9 @@
 `python bench/site_copies.py BENCH SITE FOLDER [--loads 2.8] [--engines 2] [--days quiet-1,...]`.
 BENCH is the platform's program, SITE a site file, FOLDER a new one outside the temporary folder
 for the copy, which is not committed. `--loads` multiplies the time that a load of weights takes
-and `--engines` that of an engine's step. Run it in the checkout to be measured; each play writes
-its journal entry there.
+and `--engines` that of an engine's step. A day, such as quiet-1, is a load that BENCH runs
+("plays") at the site; its worth is the score that BENCH prints. Run this program in the checkout
+to be measured; each play writes its journal entry there.
 """
 
 import argparse
--- a/bench/spread_bench.py
+++ b/bench/spread_bench.py
@@ -102,7 +102,7 @@
 
 
 def start_fleet(cluster: processes.Cluster, entries: int, sidecars: int, way: str) -> Fleet:
-    """Start a fleet; if `way` is LOG, sidecars are not listed, so that there are no links."""
+    """Start a fleet; if `way` is LOG, no sidecar is in the host list, so there are no links."""
     gauges = Gauges()
     deployed = deployment.Deployment(cluster)
     deployed.start_platform()
@@ -174,7 +174,7 @@
 
 
 def measure_apply() -> None:
-    """Print the time that the fold takes to apply a record."""
+    """Print the mean time in which a process applies a configuration record to its state."""
     values = []
     for number in range(APPLIED):
         base = number - 1
--- a/bench/step_losses.py
+++ b/bench/step_losses.py
@@ -96,7 +96,7 @@
 
 
 def classify_reason(reason):
-    """Return the kind of an attempt from its logged reason; `whole` without a reason."""
+    """Return the kind of an attempt from its logged reason; no reason means `whole` (complete)."""
     if not reason:
         return "whole"
     return next((kind for start, kind in _REASON_KINDS if reason.startswith(start)), "broken")
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Flow:
-    """A kind of request, with its rate per second and worth."""
+    """A kind of request; `worth` is its weight in the offered load and in the goodput."""
 
     customer: str
     operation: str
--- a/standins/oleander_standins/deployment.py
+++ b/standins/oleander_standins/deployment.py
@@ -50,7 +50,11 @@
         program: tuple[str, ...] = (),
         environ: dict[str, str] | None = None,
     ) -> None:
-        """Run `program` in `environ`; by default `python -m oleanderdeal` in this environment."""
+        """
+        Run entries, sidecars and commands as `program` with the environment variables `environ`.
+
+        The defaults are `python -m oleanderdeal` and this process's environment variables.
+        """
         self._cluster = cluster
         self._program = program or (sys.executable, "-m", "oleanderdeal")
         self._environ = environ
--- a/standins/oleander_standins/generations.py
+++ b/standins/oleander_standins/generations.py
@@ -10,7 +10,7 @@
 RUNNING = "running"
 FINISHED = "finished"
 CANCELLED = "cancelled"
-"""Also used if the caller disconnected or the `cut` fault ended the stream."""
+"""Also the outcome if the caller disconnected or the `cut` fault ended the stream."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/standins/oleander_standins/recordlog.py
+++ b/standins/oleander_standins/recordlog.py
@@ -147,7 +147,7 @@
         return expression.Ok(None)
 
     def apply_late(self) -> None:
-        """Apply the appends in flight; skip those whose end offset no longer matches."""
+        """Apply the appends that `late_appends` delayed; skip any with an outdated end offset."""
         late, self._late = self._late, []
         for append in late:
             with self._lock:
--- a/standins/oleander_standins/relay.py
+++ b/standins/oleander_standins/relay.py
@@ -117,7 +117,7 @@
 
     def spoil(self, how: str) -> None:
         """
-        Alter the next answer with samples that no earlier call alters.
+        Alter one answer that contains samples: the next that no earlier call will alter.
 
         `CUT` closes the connection within the answer; `DAMAGED` changes the first digit of the
         text of its first sample.
--- a/standins/oleander_standins/trainer.py
+++ b/standins/oleander_standins/trainer.py
@@ -129,7 +129,7 @@
         return collector
 
     def _raise_version(self, check: trainer_checks.StepCheck) -> None:
-        """Publish the versions of `--raises` in the middle of a step, once a sample is held."""
+        """Publish the versions of `--raises` during a step; do nothing until a sample is held."""
         if not check.format_held():
             return
         while self._raises_left > 0:
