--- a/features/caller_requests.feature
+++ b/features/caller_requests.feature
@@ -1,5 +1,5 @@
 Feature: Validation of callers' requests
-  All problems of a request are reported in one answer, each with its place, and nothing is run.
+  All problems of a request are reported in one answer, each with its header or path, and the request is not run.
 
   Scenario Outline: An invalid request
     Given a caller's request to <operation> with key <key>, timeout <timeout> and body <body>
--- a/features/heavy_load.feature
+++ b/features/heavy_load.feature
@@ -1,6 +1,6 @@
 Feature: What callers get while servers are overloaded
   A server takes 60 ms for a request, runs as many at once as it has slots, and refuses all others at once. Load is
-  relative to the capacity of the servers. Callers have 600 ms; a refused one retries after the time it was told.
+  relative to the capacity of the servers. Callers have 600 ms; a refused one retries after the stated delay.
 
   Scenario Outline: Callers are served up to the capacity of the servers, and the others are refused at once
     # Under overload a caller that waits until its deadline can't try elsewhere, and requests of callers
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,8 +1,8 @@
 Feature: A backend server that is leaving receives no new work
 
   Scenario Outline: A desk leaves while calls keep arriving
-    # Every call is answered. However the entries learn that a desk is leaving, it starts no call
-    # made after that, and the call that it was running still gets its complete answer.
+    # A desk is a backend server. All calls are answered. However entries learn that a desk is leaving,
+    # it starts no call made after that, and the call that it was running still gets its whole answer.
     Given <count> desks whose leaving is observed
     And a charge is held at each of the leaving desks <leaving>
     When the leaving desks <way>, the host list being <list>
--- a/features/order_crowd.feature
+++ b/features/order_crowd.feature
@@ -3,9 +3,9 @@
   while more than a third of the servers load. A server that is loading accepts no new requests.
 
   Scenario Outline: Loads that are slower than expected don't pile up
-    # A version is published every few seconds. With waves of a fixed length, the second wave starts
-    # while the first still loads, and then the next version is published: all servers load at once,
-    # and no server is free to start the trainer's next step.
+    # A version is published every few seconds, and servers load it in groups, called waves. If waves
+    # started at fixed intervals, the second would start while the first still loads, and then the next
+    # version is published: all servers load at once, and none is free for the trainer's next step.
     Given <servers> servers, each ordered by its own process, whose loads take <seconds> s
     When <versions> versions are published, one every <every> s
     Then never more than <most> servers load at once
@@ -20,7 +20,7 @@
       | 12      | 0.9     | 6        | 4     | 5    | 10     |
       | 12      | 2.8     | 4        | 8     | 5    | 12     |
 
-  Scenario Outline: Servers are asked whether they are loading only if loads exceed a wave
+  Scenario Outline: Servers are asked whether they are loading only if loads take longer than a wave
     # Each request may open a connection to a server, and each process asks many servers: in a fleet of
     # 23 servers with short loads, the requests cost more than the simultaneous loads that they prevent.
     Given <servers> servers, each ordered by its own process, whose loads take <seconds> s
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -39,9 +39,9 @@
     Then no two holders could order within the gap
 
   Scenario Outline: Servers are ordered in waves, and each only once
-    # Weights load for a second, in which a server accepts no new requests for that model. Orders to all
-    # servers at once would leave none to serve it, and repeating an order that is in flight costs another
-    # load. Several processes hold the leases of some servers each and must compute the same waves.
+    # Weights load for a second, in which a server accepts no new requests for that model. So servers load
+    # in groups, called waves: if all loaded at once, none could serve. Repeating an order in flight costs
+    # another load. Several processes hold the leases of some servers each and must compute the same waves.
     Given the engines <engines> and the target versions <named>
     When orders are planned <times> times, <seconds> s after they were published, for <rights>
     Then the planned orders are <count> to <among>
@@ -106,7 +106,7 @@
       | 1       | 9      | 1     | 1    | 9    | 0     |
 
   Scenario Outline: Weights that crashed servers are tried on one server that is due to load them
-    # Guards against a trial on a server that skips the version or does not have the model, so that it is never loaded.
+    # Guards against a trial on a server that skips the version or lacks the model: it would never be loaded.
     Given <servers> engines and 3 models whose versions come every <every> s and steps allow <lag> behind
     When 8 versions of each model were published and loaded
     Then each of 6 further versions of model a that ended servers is ordered to one server
--- a/features/refusals.feature
+++ b/features/refusals.feature
@@ -1,12 +1,12 @@
 Feature: How a batch runner sends texts to servers that refuse
   Simulated time. Each of 4 servers runs 12 texts at once, each for a second, and queues 12 more. While it loads weights it finishes
-  the texts that it runs and refuses all others. The runner sends texts as far as the windows allow, and sends refused ones again.
+  the texts that it runs and refuses all others. Texts are windowed: a window limits those in flight at a server. Refused ones are resent.
 
   Scenario Outline: A server that loads weights is tried with one text at a time
-    # A loading server has an empty queue and so looks least loaded: every waiting text was sent there,
+    # A loading server has an empty queue and so looks least loaded: every waiting text was sent to it,
     # some eleven at a time, six times a second. Each used a connection, was refused, and then missed
-    # a slot that became free at another server.
-    # With too few trials a server stays idle after its load; this holds for slow loads as well.
+    # a slot that became free at another server. A trial is a single text sent to a server that refuses.
+    # With too few trials a server stays idle after its load, also if the load was slow.
     Given a runner with <texts> texts for 4 servers
     When <loading> of them load weights for <seconds> s
     Then each loading server refuses at most <most> trials
@@ -21,14 +21,14 @@
       | 400   | 2       | 8.0     | 60   | 0.6  |
 
   Scenario: A server that refuses permanently is tried a few times a second
-    # It delays no text, as the other servers take them. Trials in a tight loop would use up connections.
+    # No text is delayed, as the other servers accept them. Trials in a tight loop would use up connections.
     Given a runner with 2000 texts for 4 servers
     When 1 of them load weights for 40 s
     Then each loading server refuses at most 140 trials
     And at least 0.99 of the texts that the other servers can run have ended
 
   Scenario Outline: A text that ends at a loading server does not end the refusing state
-    # Texts that ran before the load go on to their end. If such an end counted as acceptance, a whole
+    # Texts that ran before the load are finished. If the end of one counted as acceptance, a whole
     # window of texts would be sent each time, and all refused.
     Given a router with the peers p1 p2
     When p1 refuses a windowed request after a long one began
--- a/features/routing.feature
+++ b/features/routing.feature
@@ -273,7 +273,7 @@
       | a,failure_domain=y b,failure_domain=y c d e f g h | as before | 4 | of both domains |
 
   Scenario: Windowed requests use all servers
-    # One process sends all items of a model; with preferred servers only, the others would stay idle.
+    # One process sends all windowed (deferrable) requests of a model; preferred servers only would leave the others idle.
     Given a router that prefers 4 peers, with the peers a b c d e f g h
     When routing 200 windowed requests
     Then routing chose 8 peers, whichever
