--- a/bench/samples_bench.py
+++ b/bench/samples_bench.py
@@ -168,7 +168,11 @@
 
 
 def measure_replaced() -> None:
-    """Compare when a replacement entry starts work, and whether it knows the samples held."""
+    """
+    Compare replacement entries that start work at once or at the trainer's first pull.
+
+    Those that start at once do or do not know which samples the trainer holds.
+    """
     rows = []
     for gap in (0.01, 5.0):
         for name in ("at once", "at the first pull", "at once, `held` in the body"):
--- a/bench/samples_outage.py
+++ b/bench/samples_outage.py
@@ -74,7 +74,7 @@
 
 def measure_outage() -> None:
     """
-    Compare deliveries by the samples that the trainer states as held with records in the log.
+    Compare deliveries recorded in the log with those stated by the trainer as samples held.
 
     The trainer's statement does not need the log, so it is simulated once for all outages.
     """
--- a/features/configuration_fold.feature
+++ b/features/configuration_fold.feature
@@ -3,8 +3,8 @@
 
   Scenario Outline: The order of the log decides which record is in force
     # Two operators publish at once, or an append takes effect twice or late. Every process gives
-    # a publisher the same verdict: the first record on a base is in force, and any other one is
-    # void, with the offset and the author of the record in force.
+    # a publisher the same verdict. A contract record names its base, the offset of the one that it replaces (-1: none).
+    # The first record on a base is in force, any other is void, with offset and author of the one in force.
     When the configuration records <records> are folded
     Then the configuration verdicts are <verdicts>
     And the configuration in force is <in force>
--- a/features/stragglers.feature
+++ b/features/stragglers.feature
@@ -4,8 +4,8 @@
 
   Scenario Outline: A long text is moved off an engine that becomes slow
     # Guards against a step that waits for one long text whose engine becomes three times slower: the
-    # step is late and the trainer falls behind for the rest of the day. The text may lose half of its
-    # own time, 50 pieces, or all of it if that is little over a second.
+    # step is late and the trainer falls behind for the rest of the day. Before the move the text may be
+    # delayed by half of its normal time (50 pieces), or by all of it if that is little over a second.
     Given engines that generate a piece in <gap> ms, and 20 texts of 10 pieces that waited <wait> ms
     And a text of 100 pieces whose engine becomes <slower> times slower after 30 pieces
     Then the text is moved before it has <pieces> pieces
