--- a/features/admission_trials.py
+++ b/features/admission_trials.py
@@ -1,4 +1,4 @@
-"""A simulated server with an admission queue, replays of its arrivals, and random calls."""
+"""A simulated server with an admission queue, replays of its arrivals, and random calls to it."""
 
 import collections
 import heapq
@@ -75,7 +75,7 @@
 
 
 class RandomCalls:
-    """Calls a queue at random and counts how often each work ended."""
+    """Makes random calls to an admission queue and counts how often each piece of work ended."""
 
     def __init__(self, server, source):
         self.server = server
--- a/features/batch_processes.py
+++ b/features/batch_processes.py
@@ -17,7 +17,7 @@
 MODEL = "m"
 _EVENT_SECONDS = 0.005
 _SECONDS = {"slow": 0.3, "crawls": 1.0}
-"""The seconds between two events of an engine with this behaviour."""
+"""The seconds between two events of an engine, by the engine's behaviour."""
 _TICK_SECONDS = 0.02
 
 
--- a/features/batch_tenures.feature
+++ b/features/batch_tenures.feature
@@ -46,7 +46,7 @@
     Then each item was started once
 
   Scenario: A process that has just started takes a batch that nobody runs
-    # All processes were killed. The first one to start takes the batch after it heard nothing for a second.
+    # All processes were killed. The first to start takes the batch after a second without new records.
     Given runners a and b with the engines e1=crawls e2=crawls, all partitions assigned to a
     When a batch that allows versions from 1 on is accepted
     And within 2 s runner a runs 4 items
@@ -65,7 +65,7 @@
     And within 12 s its results are done
 
   Scenario: A runner that stops as planned is replaced at once
-    # The runner records that it hands its batches over, so the next one need not wait for its silence.
+    # The runner records that it hands its batches over, so the next one takes them without waiting.
     Given runners a and b with the engines e1=crawls e2=crawls, all partitions assigned to a
     When a batch that allows versions from 1 on is accepted
     And within 2 s runner a runs 4 items
--- a/features/configuration_support.py
+++ b/features/configuration_support.py
@@ -195,7 +195,7 @@
 
 
 def _has_no_gap(log, applied, first):
-    """Tell whether no record is missing, or a snapshot in the log covers the missing ones."""
+    """Return whether no record is missing, or a snapshot in the log covers the missing ones."""
     if first <= applied + 1:
         return True
     return any(
--- a/features/front_load.py
+++ b/features/front_load.py
@@ -10,7 +10,7 @@
 
 ITEMS_PER_BATCH = 4
 _MAX_ATTEMPTS = 4
-"""Sends of one call while it is refused; a batch is submitted up to five times as often."""
+"""Attempts at one call while it is refused; a batch is submitted up to five times as often."""
 _STEP_SECONDS = 1.5
 _FATAL_PAUSE_SECONDS = 0.4
 
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -14,9 +14,9 @@
 _READY_TIMEOUT_SECONDS = 20.0
 _POLL_SECONDS = 0.05
 _RESTART_SECONDS = 0.4
-"""From the crash of a server on a fatal request to its restart."""
+"""Delay from the crash of a server on a fatal request to its restart."""
 _INTERPRETER_START_SECONDS = 0.2
-"""Until the interpreter runs the program, a signal ends it instead of reaching its handlers."""
+"""Time for the interpreter to start; a signal during it ends the program, unhandled."""
 
 
 class RelayedProgram(front_programs.FrontProgram):
--- a/features/leaving.py
+++ b/features/leaving.py
@@ -1,4 +1,4 @@
-"""Holds calls at desks that leave, and makes more calls meanwhile."""
+"""Holds calls at desks whose sidecars leave, that is, take no new work, and makes more calls."""
 
 import concurrent.futures
 import itertools
--- a/features/once_trial.py
+++ b/features/once_trial.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Submission:
-    """One request of the caller with the key, and its response."""
+    """One attempt of the caller to have the key's request run, and its response."""
 
     entry: str
     timeout_ms: int
@@ -216,9 +216,9 @@
 
 def _reach_received(trial):
     """
-    Bring the request to the entry, and hold the append of its claim before the log.
+    Bring the request to the entry, and hold the append of its claim on the way to the log.
 
-    Waiting for an open connection would not do: an entry that is killed after opening it and
+    Waiting for an open connection is not enough: an entry that is killed after opening it and
     before sending has appended nothing, and its claim never arrives.
     """
     log_relay = trial.relays["log-entry-a"]
@@ -238,7 +238,7 @@
 
 
 def _reach_read_back(trial):
-    """Suspend the entry with the claim in its socket; when resumed it sends the request."""
+    """Suspend the entry with the claim unread in its socket; when resumed it sends the request."""
     _reach_appended(trial)
     trial.suspend("entry-a")
     trial.relays["log-entry-a"].heal()
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -46,7 +46,7 @@
       | 181   | 0      | suspect          |
 
   Scenario Outline: Items that a batch waits for are tried again soon
-    # Guards against a training step that is lost because an item shared its engines with the cause.
+    # Guards against a training step lost because an item ran beside the one that crashed engines.
     Given the crashes <crashes> of a request
     Then as part of a batch it is quarantined for <seconds> s
 
@@ -58,7 +58,7 @@
       | A, B, C, D                             | 16      |
 
   Scenario Outline: A request is identified by its content, not by its id
-    # Guards against a repeated request with a new id that passes for another one, and the reverse.
+    # Guards against a repeat taken for another request owing to its new id, and the reverse.
     Given a request whose <part> differs from another's
     Then the two requests count as <same>
 
--- a/features/raw_server.py
+++ b/features/raw_server.py
@@ -12,7 +12,7 @@
     """Serves connections one after the other and answers each request with `pieces`."""
 
     def __init__(self, pieces, keeps_open=False, pause=0.0, max_answers=1000):
-        """Pause before each piece; after `max_answers` answers, close connections without one."""
+        """Pause for `pause` s before each piece; close connections after `max_answers` answers."""
         self.requests = []
         self.connections = 0
         self._pieces = pieces
--- a/features/soak_faults.py
+++ b/features/soak_faults.py
@@ -10,7 +10,7 @@
 import support
 
 _OPERATORS = ("ada", "grace")
-"""Operators that publish on the same base at once."""
+"""Operators that concurrently publish contracts based on the same earlier one."""
 _JOIN_SECONDS = 30
 """Time limit for the end of one fault's thread, which includes undoing the fault."""
 
@@ -203,7 +203,7 @@
             self._release_process(name)
 
     def _publish_concurrently(self, fault):
-        """Let two operators publish a contract on the same base, of which one record is void."""
+        """Let two operators publish contracts on the same base; the later record is void."""
         offset, document = read_contract(self._deployed)
         for operator in _OPERATORS:
             changed = document | {"share_percent": self._random.randint(1, 100)}
--- a/features/soak_load.py
+++ b/features/soak_load.py
@@ -13,7 +13,7 @@
 from oleander_standins import trainer
 
 _MAX_ATTEMPTS = 8
-"""Calls with one key before its caller gives up."""
+"""Maximum number of calls with one key before its caller gives up."""
 _CALL_TIMEOUT_MS = 3000
 _MAX_PAUSE_SECONDS = 1.0
 _BOOKING_OPERATION = ("catania", "booking")
--- a/features/soak_schedule.py
+++ b/features/soak_schedule.py
@@ -39,7 +39,7 @@
     target_index: int
     """Index, modulo their number, into the processes or relays that can fail this way."""
     delay_ms: int
-    """From the start of the previous fault to the start of this one."""
+    """Time from the start of the previous fault to the start of this one."""
     duration_ms: int
 
 
--- a/features/steps/batches_steps.py
+++ b/features/steps/batches_steps.py
@@ -13,7 +13,7 @@
 _SECONDS = 0.5
 _FOLLOW_SECONDS = 2.0
 _SIZES = {"": 4, "400 kB": 133_000, "2 MB": 667_000}
-"""The size in bytes of each of the three items' bodies, by the total of a row."""
+"""Bytes in the body of each of the three items, by the total size that a row names."""
 _FAULTS = {
     "nothing": {},
     "down": {"is_down": True},
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -16,7 +16,11 @@
 
 
 class Entry:
-    """An entry's threads, which run requests in order of arrival; a refused one uses none."""
+    """
+    Simulates the threads of an entry; a request that the limiter refuses uses no thread.
+
+    Requests run in order of arrival.
+    """
 
     def __init__(self, places, service_seconds, has_limiter):
         self._free = places
@@ -61,7 +65,7 @@
         """
         Return the lowest percentage of requests served, over all organisations but the burst's.
 
-        100 percent is what the organisation is served in `alone`, without the burst.
+        100 percent is what the same organisation is served in `alone`, a run without the burst.
         """
         others = [name for name in self.asked if name != _BURST]
         return min(100 * self.served[name] / alone.served[name] for name in others)
--- a/features/steps/code_comments_steps.py
+++ b/features/steps/code_comments_steps.py
@@ -87,7 +87,7 @@
 
 
 def _has_bare_figure(comment):
-    """Return whether a clause has a figure without a fault that follows from it."""
+    """Return whether a clause has a figure but does not say what goes wrong with it."""
     clauses = _CLAUSE_END.split(" ".join(comment.split()))
     return any(_FIGURE.search(clause) and not _REASON.search(clause) for clause in clauses)
 
--- a/features/steps/configuration_matrix_steps.py
+++ b/features/steps/configuration_matrix_steps.py
@@ -142,8 +142,8 @@
             lambda name=name: parts.read_configuration(name)["peers"] >= len(parts.hosts),
             f"{name} has peers",
         )
-    # An entry that wrongly served an empty configuration would do so one second after the first
-    # peer's heartbeat, so it is polled for longer than that.
+    # A faulty entry would begin to serve an empty configuration one second after the first peer's
+    # heartbeat, so the entries are polled for longer than that.
     for _ in range(_STARTING_CHECKS):
         for name in _split(names):
             assert parts.read_change_status(name, parts.number) == "starting", name
--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -48,7 +48,7 @@
 
 
 class Fleet(server_fakes.FailingCaller):
-    """The simulated engines, with the two processes that order them."""
+    """The simulated engines, and the two processes that send them load orders."""
 
     def __init__(self, count):
         self.now = _START_SECONDS
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps for desks that stop taking new work."""
+"""Steps for desks, which are example services, whose sidecars stop taking new work."""
 
 import signal
 
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -18,7 +18,7 @@
 
 
 class WaitingLog(recordlog.MemoryRecordLog):
-    """Delays the answer to a read without new records by its wait, as the platform does."""
+    """Delays an answer without new records by the read's `wait_ms`, as the platform does."""
 
     def __init__(self):
         super().__init__()
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -1,4 +1,8 @@
-"""Steps that bring a non-repeatable request to a step, inject faults and check the outcome."""
+"""
+Steps that hold a non-repeatable request at a stage, inject faults and check the outcome.
+
+The stages are the steps that `once_matrix.feature` lists at its head.
+"""
 
 import time
 
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -40,7 +40,7 @@
 
 
 class _FakeEntries(entry_clients.EntryClient):
-    """Entries that give the planned answers in turn; the last one is repeated."""
+    """Fake entries, each of which gives its planned answers in turn and repeats the last one."""
 
     def __init__(self):
         self.plans = {url: ["9"] for url in _ENTRIES}
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -15,7 +15,7 @@
 _MODEL = "m"
 _TICK_SECONDS = 0.1
 _LIST_SECONDS = 1.0
-"""How long after a load the server list shows the new version."""
+"""Seconds from the end of a load until the server list shows the new version."""
 _FIRST_VERSION = 1
 _START = 1000.0
 
@@ -38,7 +38,7 @@
 
 
 class Fleet(server_fakes.FailingCaller):
-    """The simulated engines, each ordered by a process of its own."""
+    """The simulated engines, each of which gets load orders from a process of its own."""
 
     def __init__(self, count, seconds):
         self.now = _START
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -28,7 +28,7 @@
 _CALL_SECONDS = 5.0
 _STORE_SECONDS = 2.0
 _CLOSE_SECONDS = 0.1
-"""Time after which a server that closes its connections has closed them."""
+"""Longest time that a server needs to close its connections."""
 _REGISTRATION = {
     "service": "desk",
     "address": "10.0.0.1:80",
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -36,7 +36,7 @@
         self.crashes.append(crash)
 
     def withdraw(self, keys):
-        """Ignore withdrawals."""
+        """Ignore the withdrawal of published crashes."""
 
 
 @behave.given("the crashes {listed} of a request")
--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -8,7 +8,11 @@
 from oleander_routing import peers, router
 
 _TICK_SECONDS = 0.005
-"""Also the time until a refusal arrives; texts sent to that server meanwhile are refused too."""
+"""
+Step of the simulated time, and the time until a refusal arrives.
+
+Texts sent to the refusing server meanwhile are refused too.
+"""
 _SLOTS = 12
 _QUEUE = 12
 _TEXT_SECONDS = 1.0
@@ -22,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadingServer:
-    """A server that refuses all texts that it does not run yet while it loads weights."""
+    """A server that, while it loads weights, refuses all texts that it has not started."""
 
     name: str
     loading_until: float = 0.0
@@ -207,7 +211,7 @@
             self.router.update(name, report)
 
     def refuse(self, texts, seconds):
-        """Let the first server refuse some texts at once, then trials for some seconds."""
+        """Let the first server refuse some texts at once, then single probes for some seconds."""
         for _ in range(texts):
             self.router.record_started("s0", is_windowed=True)
         for _ in range(texts):
@@ -239,7 +243,7 @@
         return chosen_names
 
     def run_step(self, texts):
-        """Send a step and let all its texts end well."""
+        """Send the texts of a step and let all of them succeed."""
         chosen_names = self.send_step(texts)
         self.now += _TEXT_SECONDS
         for name in chosen_names:
--- a/features/steps/sample_registry_steps.py
+++ b/features/steps/sample_registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the step registry, and a randomised test of it against a model trainer."""
+"""Steps for the step registry, and a randomised test of it against a simulated trainer."""
 
 import collections
 import random
@@ -74,7 +74,7 @@
 
 
 class _EngineAttempt:
-    """One attempt, with the versions that its engine used, whether stated or not."""
+    """One attempt at a work item, and all weight versions that its engine used, stated or not."""
 
     def __init__(self, collector, work, lag):
         self.collector = collector
@@ -85,7 +85,7 @@
 
 class TrainerModel:
     """
-    A model of a trainer, its engines and two entries.
+    Simulates a trainer, its engines and two entries.
 
     The text of each token is its weight version in brackets, so that labels can be checked.
     """
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -30,7 +30,7 @@
             self._finish_short(work, wait_ms / 1000)
 
     def count_pieces_before_move(self, pieces):
-        """Return how many pieces the long text had when it was moved, or None if it never was."""
+        """Return how many pieces the long text had when it was moved, or None if it stayed."""
         count = 0
         now = 0.0
         while count < len(pieces):
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -62,7 +62,7 @@
         self.deployment.kill(self.find_busy_host())
 
     def hold_link(self, host):
-        """Hold the link's messages to the entry until some are held, then let them through."""
+        """Hold the link's messages to the entry, and release them once at least one is held."""
         link = self.deployment.relays[f"link-{host}"]
         link.block(relay.TO_CLIENT)
         support.wait_until(lambda: link.count_held(relay.TO_CLIENT), "the link holds answers")
--- a/features/steps/text_queues_steps.py
+++ b/features/steps/text_queues_steps.py
@@ -160,7 +160,7 @@
 
 
 def _measure_lateness(context, seed, runners, count, are_speeds_known):
-    """Return how many seconds later a step is complete than with one queue for all engines."""
+    """Return by how many seconds a step ends later than with one queue for all engines."""
     source = random.Random(seed)
     fleet = SharedFleet(context.create_engines())
     engines = fleet.engines.values()
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -109,7 +109,7 @@
             yield
 
     def find_owner(self):
-        """Return the process that owns the duty: the chosen one, or the first with a log."""
+        """Return the process assigned the lease: the chosen one or the first that can take it."""
         if self.owner:
             return self.owner
         reachable = [
--- a/features/steps/waiting_runs_steps.py
+++ b/features/steps/waiting_runs_steps.py
@@ -14,7 +14,7 @@
 _BUDGET_MS = 20000
 _STOP_SECONDS = 5.0
 _SETTLE_SECONDS = 0.5
-"""Time within which a free slot has started a queued request, which it does at once."""
+"""Wait before a check; a free slot starts a queued request at once, well within this time."""
 _HELLO = messages.Hello(messages.PROTOCOL, "peer", "i1", "z", "token")
 _BEAT = messages.Heartbeat("desk", 0, 0, 1, 0, -1, True, False, 0, 0)
 
--- a/features/steps/weight_changes_steps.py
+++ b/features/steps/weight_changes_steps.py
@@ -29,9 +29,9 @@
 
 def _has_finished_draft(context):
     """
-    Request a draft; return whether the engine has finished one.
+    Call the operation `draft`; return whether the engine has finished a generation.
 
-    Such an engine gets no work until orders from before its sidecar's start can't take effect.
+    After its sidecar's start the engine gets no work until earlier orders can't take effect.
     """
     body = {"prompt": "warm up", "prefix": "", "max_tokens": 40, "stream": False}
     context.deployment.deployed.call("entry-a", "long", "draft", body)
--- a/features/stops.py
+++ b/features/stops.py
@@ -220,7 +220,7 @@
 
 
 class HungLog(WorkInProgress):
-    """No work at all, but a log that hangs."""
+    """A stop without any work in progress, while the log hangs."""
 
     @property
     def sidecar(self):
--- a/features/usage.feature
+++ b/features/usage.feature
@@ -68,7 +68,7 @@
       | other   | 0     |
       | refuses | 0     |
 
-  Scenario: The number of windows with counts that were not taken is bounded
+  Scenario: The number of windows with counts that were not reported is bounded
     # Guards against memory that grows while the log is unavailable.
     Given a usage counter whose counts nobody takes
     When requests start in 500 windows
@@ -89,7 +89,7 @@
       | 830205a16172f6  |
 
   Scenario: The program reports to the platform, in its node's name and with a fencing token
-    # Guards against a duty that the deployed program does not perform.
+    # Guards against a deployed program that does not report usage.
     Given the front program with windows of 1 s, and the organisations red and blue
     When 3 calls of red are answered
     Then the platform is told of 3 requests of red, and of idle windows, each window once
--- a/features/virtual_time.py
+++ b/features/virtual_time.py
@@ -28,8 +28,8 @@
     """
     Runs threads one at a time and, when all wait, advances the time to the next wake-up.
 
-    Threads of the product may block only in `sleep`, `wait`, or a pool or semaphore of this
-    module. Real locks are allowed if no thread blocks here while it holds one.
+    Threads of the program under test may block only in `sleep`, `wait`, or a pool or semaphore of
+    this module. Real locks are allowed if no thread blocks here while it holds one.
     """
 
     def __init__(self):
--- a/features/weight_doubts.feature
+++ b/features/weight_doubts.feature
@@ -116,7 +116,7 @@
     Then trainer first has every sample of its step, correctly labelled
 
   Scenario: Versions are published faster than an engine loads them
-    # Guards against an engine that loads every version and falls behind, and against samples older than the staleness bound.
+    # Guards against an engine that falls behind by loading every version, and against stale samples.
     Given designs on an engine that checks numbers and on a healthy one
     And that engine's next order to load will be stopped when half loaded
     When trainer first takes 8 short steps from designs version 2
