--- a/features/configuration_matrix.feature
+++ b/features/configuration_matrix.feature
@@ -26,9 +26,9 @@
       | loses every append | 300     | 4 not known whether it was published |
       | is late always     | 300     | 4 not known whether it was published |
 
-  Scenario: The second of two concurrent publishers is told who was first
+  Scenario: The second of two concurrent publishers learns who was first
     # Ann has read the current contract and is paused before her append succeeds. Bo publishes on the
-    # same base. Ann's record then comes second, so it is void, and her command names Bo.
+    # same base. Ann's record is then the second, so it is void, and her command names Bo.
     Given the deployment of the configuration matrix
     When ann starts to publish in the configuration matrix and is paused before her append
     And bo publishes in the configuration matrix and wins
--- a/features/deployments.py
+++ b/features/deployments.py
@@ -72,7 +72,7 @@
 
     @property
     def has_own_settings(self):
-        """Whether it was started with non-default entry flags, so that it can't be reused."""
+        """Whether the deployment has non-default entry flags, so that it can't be reused."""
         return bool(self._entry_flags)
 
     @property
--- a/features/front_programs.py
+++ b/features/front_programs.py
@@ -28,8 +28,12 @@
 
 
 _PORTS = range(20_000, 32_000)
-"""Below the ephemeral ports: a restarted program needs its port again, and the system could have
-given an ephemeral one to a server of another test."""
+"""
+Ports below the ephemeral ones.
+
+A restarted program needs its port again, and the system could have given an ephemeral one to a
+server of another test.
+"""
 _REQUEST_TIMEOUT_SECONDS = 10.0
 _EXIT_TIMEOUT_SECONDS = 12.0
 _OUTPUT_TAIL_CHARACTERS = 1500
--- a/features/front_site.py
+++ b/features/front_site.py
@@ -16,7 +16,11 @@
 _RESTART_SECONDS = 0.4
 """Delay from the crash of a server on a fatal request to its restart."""
 _INTERPRETER_START_SECONDS = 0.2
-"""Time for the interpreter to start; a signal during it ends the program, unhandled."""
+"""
+Time until the interpreter runs the program.
+
+Before that a signal ends the process instead of reaching the program's handlers.
+"""
 
 
 class RelayedProgram(front_programs.FrontProgram):
--- a/features/front_soak.py
+++ b/features/front_soak.py
@@ -18,13 +18,13 @@
 
 _CALLER_COUNT = 4
 _SETTLE_SECONDS = 7.0
-"""Duration of the load without faults at the end, to let programs recover."""
+"""Duration of the load without faults at the end, for recovery from the last faults."""
 _MAX_CRASHES = 3
 """Maximum number of servers that a request may crash before it is quarantined."""
 _CRASH_REPORT_SECONDS = 3.0
 """Time limit for a crash to be known to all programs once no fault is in effect."""
 _MAX_LINE_CHARACTERS = 3000
-"""Characters printed at most of a log line with a violation, which may hold a traceback."""
+"""Limit on the printed characters of a log line with a violation, which may hold a traceback."""
 _READ_BACK_SECONDS = 40.0
 """Time limit for reading all accepted batches at all programs."""
 
--- a/features/leaving.py
+++ b/features/leaving.py
@@ -1,4 +1,4 @@
-"""Holds calls at desks whose sidecars leave, that is, take no new work, and makes more calls."""
+"""Holds calls at desks whose sidecars leave (take no new work), and makes calls meanwhile."""
 
 import concurrent.futures
 import itertools
--- a/features/once_issued_matrix.feature
+++ b/features/once_issued_matrix.feature
@@ -4,7 +4,7 @@
   Scenario Outline: An issued key names the sidecar that may start it
     # No claim is needed, so the log may be down: each entry sends the request to the sidecar that the
     # key names, which starts it once. When that incarnation ends, its state of the key is lost and the
-    # caller is told "unknown". A key that the sidecar has sealed continues with a claim.
+    # caller gets "unknown". A key that the sidecar has sealed continues with a claim.
     Given a deployment in which every connection of a non-repeatable request can fail
     And the non-repeatable request has an issued key
     When the non-repeatable request is <step>, and then <events>
@@ -31,7 +31,7 @@
 
   Scenario Outline: An issued key whose sidecar can't reach its service
     # The sidecar refuses and seals the key, so it may be claimed for the other sidecar. While the log is
-    # down it can't be claimed, and the caller is told "not run".
+    # down it can't be claimed, and the caller gets "not run".
     Given a deployment in which every connection of a non-repeatable request can fail but those to the services
     And the non-repeatable request has an issued key
     When the non-repeatable request is <step>, and then <events>
--- a/features/once_matrix.feature
+++ b/features/once_matrix.feature
@@ -62,8 +62,8 @@
       | returned              | freeze entry-a, drop link, heal link, ask entry-b, await 2, thaw entry-a   | done, done         | done         | 1    |
 
   Scenario Outline: The sidecar dies or is paused
-    # Only the claimed incarnation knows whether the key ran. After it has ended, the caller is always
-    # told "unknown" and the key is never run again; if the request was not yet sent, the next attempt
+    # Only the claimed incarnation knows whether the key ran. After it has ended, the caller always gets
+    # "unknown" and the key is never run again; if the request was not yet sent, the next attempt
     # goes to another sidecar. A new incarnation refuses requests claimed for the old one.
     Given a deployment in which every connection of a non-repeatable request can fail
     When the non-repeatable request is <step>, and then <events>
@@ -107,7 +107,7 @@
 
   Scenario Outline: The service can't be reached at all
     # The connection to the service is refused, so nothing was sent. The sidecar answers "not run", and
-    # the next attempt goes to the other sidecar; if there is none, the caller is told "not run".
+    # the next attempt goes to the other sidecar; if there is none, the caller gets "not run".
     Given a deployment in which every connection of a non-repeatable request can fail but those to the services
     When the non-repeatable request is <step>, and then <events>
     And all faults of the non-repeatable request have ended
--- a/features/once_trial.py
+++ b/features/once_trial.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Submission:
-    """One attempt of the caller to have the key's request run, and its response."""
+    """One request that the caller sent with the key, and its response."""
 
     entry: str
     timeout_ms: int
--- a/features/platform_standin.py
+++ b/features/platform_standin.py
@@ -220,11 +220,11 @@
         self.version = 1
         self.event_seconds = 0.01
         self.lost_answers = 0
-        """Number of next requests that run, but whose answers are lost or truncated."""
+        """Number of upcoming requests that run, but whose answers are lost or truncated."""
         self.ended_at = []
         """Monotonic times, in seconds, at which a fatal request crashed the server."""
         self.on_ended = None
-        """Callback with this server after a crash, to restart it."""
+        """Called with this server as its argument after a crash, to restart it."""
 
     def answer(self, handler, path, query, body):
         if handler.headers.get("X-Oleanderdeal-Expect-Instance") != self.name:
--- a/features/raw_server.py
+++ b/features/raw_server.py
@@ -12,7 +12,11 @@
     """Serves connections one after the other and answers each request with `pieces`."""
 
     def __init__(self, pieces, keeps_open=False, pause=0.0, max_answers=1000):
-        """Pause for `pause` s before each piece; close connections after `max_answers` answers."""
+        """
+        Pause for `pause` seconds before each piece.
+
+        After `max_answers` answers, close connections without an answer.
+        """
         self.requests = []
         self.connections = 0
         self._pieces = pieces
--- a/features/run.py
+++ b/features/run.py
@@ -18,7 +18,11 @@
 _SKIPPED = ("skipped", "untested")
 _FAILED = ("failed", "error")
 _MAX_MESSAGE_CHARACTERS = 4000
-"""Kept from the end of a step's message: enough for a traceback and a program's last lines."""
+"""
+Maximum length of the part kept from the end of a step's message.
+
+Enough for a traceback and the last lines of a program's log.
+"""
 
 
 class FeatureResult:
@@ -85,7 +89,7 @@
 
 
 def read_known_red():
-    """Return the locations of the known failures: the first word of each line without a `#`."""
+    """Return the known failures' locations: the first word of each line that is not a comment."""
     lines = _KNOWN_RED.read_text().splitlines() if _KNOWN_RED.exists() else []
     return {line.split()[0] for line in lines if line.strip() and not line.startswith("#")}
 
--- a/features/sample_trials.py
+++ b/features/sample_trials.py
@@ -339,7 +339,7 @@
 
 
 def start(context):
-    """Assign a started deployment to the scenario; return its trials."""
+    """Assign a started deployment to the scenario; return a `SampleTrials` that controls it."""
     name = context.feature.filename
     if name not in _spares:
         _spares[name] = SpareDeployments()
--- a/features/soak.py
+++ b/features/soak.py
@@ -20,7 +20,7 @@
 _EXAMPLE = pathlib.Path(__file__).resolve().parent.parent / "docs" / "examples" / "catania.yaml"
 _FAULTS_PER_SCHEDULE = 20
 _SETTLE_SECONDS = 3.0
-"""Duration of the load without faults at the end, to recover from the last faults."""
+"""Duration of the final load without faults, for recovery from the last ones before the check."""
 _CALLER_COUNT = 6
 _INVARIANT_EVENT = "invariant-broken"
 """Event of the log line that a program writes when an invariant does not hold."""
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -109,7 +109,11 @@
             yield
 
     def find_owner(self):
-        """Return the process assigned the lease: the chosen one or the first that can take it."""
+        """
+        Return the process that gets the lease: the chosen one or the first available.
+
+        A process is available if it runs, reaches the log and wants the lease.
+        """
         if self.owner:
             return self.owner
         reachable = [
@@ -177,7 +181,7 @@
                 counter.undo(counted.pop())
 
     def _arrive(self, name):
-        """Let delayed calls arrive, and check that they repeat reports already accepted."""
+        """Let the process's delayed calls arrive; check that they repeat accepted reports."""
         self.stalling.discard(name)
         for sender, report, holder in self.stalled:
             counts = next(r.counts for _, _, r, _ in self.reports if r.window == report.window)
--- a/features/steps/weight_changes_steps.py
+++ b/features/steps/weight_changes_steps.py
@@ -31,7 +31,7 @@
     """
     Call the operation `draft`; return whether the engine has finished a generation.
 
-    After its sidecar's start the engine gets no work until earlier orders can't take effect.
+    After its sidecar's start the engine gets no work while earlier orders may take effect.
     """
     body = {"prompt": "warm up", "prefix": "", "max_tokens": 40, "stream": False}
     context.deployment.deployed.call("entry-a", "long", "draft", body)
--- a/features/weight_changes.py
+++ b/features/weight_changes.py
@@ -45,7 +45,7 @@
 
 
 class WeightChange:
-    """Holds the next load order to the engine under test back at one step until released."""
+    """Holds back the next load order to the engine under test at one step until released."""
 
     def __init__(self, deployed, step):
         self._deployed = deployed
