--- a/features/steps/refusals_steps.py
+++ b/features/steps/refusals_steps.py
@@ -211,7 +211,11 @@
             self.router.update(name, report)
 
     def refuse(self, texts, seconds):
-        """Let the first server refuse some texts at once, then single probes for some seconds."""
+        """
+        Let the first server refuse some texts at once, then trials for some seconds.
+
+        A trial is a single text that tests whether the server still refuses.
+        """
         for _ in range(texts):
             self.router.record_started("s0", is_windowed=True)
         for _ in range(texts):
