--- a/features/steps/crashing_versions_steps.py
+++ b/features/steps/crashing_versions_steps.py
@@ -84,7 +84,7 @@
         if self.fatal_seconds == 0.0:
             self._end(engine)
             return servers.OrderUnknown("reset")
-        return servers.OrderAccepted(is_done=False)
+        return servers.OrderTaken(is_done=False)
 
     def run(self, version, seconds, fatal_seconds):
         self.fatal_seconds = fatal_seconds
--- a/features/steps/model_fleet_steps.py
+++ b/features/steps/model_fleet_steps.py
@@ -80,7 +80,7 @@
         keeper_fakes.find_no_limit,
     )
     for order in orders:
-        context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
+        context.planner.record_outcome(order, 0, servers.OrderTaken(is_done=False))
     return orders
 
 
--- a/features/steps/order_crowd_steps.py
+++ b/features/steps/order_crowd_steps.py
@@ -65,7 +65,7 @@
         engine.loading_version = order.version
         engine.remaining_seconds = self.seconds
         engine.accepted_orders += 1
-        return servers.OrderAccepted(is_done=False)
+        return servers.OrderTaken(is_done=False)
 
     def run(self, until):
         with unittest.mock.patch.object(clock, "read_now", lambda: self.now):
--- a/features/steps/orders_steps.py
+++ b/features/steps/orders_steps.py
@@ -49,7 +49,7 @@
         )
         for order in chosen:
             context.planned.append(order)
-            context.planner.record_outcome(order, 0, servers.OrderAccepted(is_done=False))
+            context.planner.record_outcome(order, 0, servers.OrderTaken(is_done=False))
 
 
 @behave.when("{name} reports that it has version {version:d} of m")
@@ -131,8 +131,8 @@
 @behave.when("an order to it ends as {outcome}")
 def record_outcome(context, outcome):
     outcomes = {
-        "taken": servers.OrderAccepted(is_done=False),
-        "done": servers.OrderAccepted(is_done=True),
+        "taken": servers.OrderTaken(is_done=False),
+        "done": servers.OrderTaken(is_done=True),
         "refused": servers.OrderRefused("409"),
         "unknown": servers.OrderUnknown("no answer"),
     }
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -271,7 +271,7 @@
 def check_connections(context, requests, connections):
     assert len(context.engine.requests) == requests, context.engine.requests
     assert context.engine.connections == connections, context.engine.connections
-    assert context.outcomes == [servers.OrderAccepted(True)] * (requests // 2), context.outcomes
+    assert context.outcomes == [servers.OrderTaken(True)] * (requests // 2), context.outcomes
 
 
 @behave.given("a store that ends while it reads an append on a {connection} connection")
--- a/features/steps/usage_steps.py
+++ b/features/steps/usage_steps.py
@@ -50,7 +50,7 @@
         if site.lost_answers:
             site.lost_answers -= 1
             return platform.DutyUnknown("no answer")
-        return platform.DutyAccepted()
+        return platform.DutyDone()
 
 
 class Process:
--- a/libs/direct/oleander_direct/servers.py
+++ b/libs/direct/oleander_direct/servers.py
@@ -162,7 +162,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class OrderAccepted:
+class OrderTaken:
     """The server is carrying out the order or has done so."""
 
     is_done: bool
@@ -182,7 +182,7 @@
     detail: str
 
 
-OrderOutcome = OrderAccepted | OrderRefused | OrderUnknown
+OrderOutcome = OrderTaken | OrderRefused | OrderUnknown
 
 
 class ServerCaller(abc.ABC):
--- a/libs/duties/oleander_duties/platform.py
+++ b/libs/duties/oleander_duties/platform.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class DutyAccepted:
+class DutyDone:
     """The platform accepted the call."""
 
 
@@ -45,7 +45,7 @@
     detail: str
 
 
-DutyOutcome = DutyAccepted | DutyRejected | DutyUnknown
+DutyOutcome = DutyDone | DutyRejected | DutyUnknown
 
 
 class DutyPlatform(abc.ABC):
--- a/libs/orders/oleander_orders/plan.py
+++ b/libs/orders/oleander_orders/plan.py
@@ -153,7 +153,7 @@
         self, order: PlannedOrder, accepted_orders: int, outcome: servers.OrderOutcome
     ) -> None:
         """Record the outcome of sending an order."""
-        if isinstance(outcome, servers.OrderAccepted):
+        if isinstance(outcome, servers.OrderTaken):
             if not outcome.is_done:
                 self._accepted_counts[order.server.incarnation] = accepted_orders + 1
             self._add_pending(order, True, _ACCEPTED_TIMEOUT_SECONDS)
--- a/libs/platform/oleander_platform/recordlog.py
+++ b/libs/platform/oleander_platform/recordlog.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class EndMismatch:
+class EndMoved:
     """A conditional append had no effect: the partition does not end at the expected offset."""
 
     end_offset: int
@@ -110,7 +110,7 @@
         records: list[bytes],
         end_offset: int,
         deadline: clock.Deadline,
-    ) -> expression.Result[AppendedRange, LogError | EndMismatch]:
+    ) -> expression.Result[AppendedRange, LogError | EndMoved]:
         """Append if the partition ends at `end_offset`; otherwise do nothing."""
 
     @abc.abstractmethod
--- a/standins/oleander_standins/recordlog.py
+++ b/standins/oleander_standins/recordlog.py
@@ -87,8 +87,8 @@
         records: list[bytes],
         end_offset: int,
         deadline: clock.Deadline,
-    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
-        """Append only if the partition ends at `end_offset`; return EndMismatch otherwise."""
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMoved]:
+        """Append only if the partition ends at `end_offset`; return EndMoved otherwise."""
         return self._append(_LateAppend(topic, partition, records, end_offset))
 
     def read(
@@ -155,7 +155,7 @@
 
     def _append(
         self, append: _LateAppend
-    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMoved]:
         faults = self.faults
         self.appends += 1
         if faults.is_down:
@@ -176,11 +176,11 @@
 
     def _apply(
         self, append: _LateAppend
-    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMismatch]:
+    ) -> expression.Result[recordlog.AppendedRange, recordlog.LogError | recordlog.EndMoved]:
         held = self._partitions[append.topic, append.partition]
         end = held.first_offset + len(held.records)
         if append.end_offset is not None and append.end_offset != end:
-            return expression.Error(recordlog.EndMismatch(end))
+            return expression.Error(recordlog.EndMoved(end))
         held.records.extend(append.records)
         return expression.Ok(recordlog.AppendedRange(end, end + len(append.records)))
 
