--- a/libs/platform/oleander_platform/keyed_follower.py
+++ b/libs/platform/oleander_platform/keyed_follower.py
@@ -75,9 +75,7 @@
         if self._is_log_lost == succeeded:
             self._is_log_lost = not succeeded
             event = "dependency-regained" if succeeded else "dependency-lost"
-            log.logger.bind(event=event, topic=self._topic).info(
-                "availability of the platform's log changed"
-            )
+            log.logger.bind(event=event, topic=self._topic).info("the platform's log")
 
     def _read_all(self) -> bool:
         newest = self._log.read_newest(self._topic, clock.start_deadline(_READ_SECONDS))
--- a/programs/oleanderdeal/oleanderdeal/batch_runner.py
+++ b/programs/oleanderdeal/oleanderdeal/batch_runner.py
@@ -195,7 +195,7 @@
             finished=len(batch.finished_items),
             resumed=resumed,
             reused=len(reused),
-        ).info("this process runs its items")
+        ).info("running its items")
 
     def _load_partials(self, batch: batch_table.Batch, run: batch_run.BatchRun) -> int:
         """Load partial texts, return their number; unreadable ones are generated anew."""
